--- a/src/decision/affinity_groups.cpp
+++ b/src/decision/affinity_groups.cpp
@@ -14,13 +14,13 @@
 }  // namespace
 
 void AffinityGroups::recordArrival(GroupId group) {
-    if (arrivalsOf_.size() >= kMaxGroups) {
-        arrivalsOf_.clear();
-        pairsOfOneGroup_ = 0.0;
+    if (arrivalsByGroup_.size() >= kMaxGroups) {
+        arrivalsByGroup_.clear();
+        sameGroupPairs_ = 0.0;
         arrivals_ = 0.0;
     }
-    int& arrivalsOfGroup = arrivalsOf_[group];
-    pairsOfOneGroup_ += 2.0 * arrivalsOfGroup;
+    int& arrivalsOfGroup = arrivalsByGroup_[group];
+    sameGroupPairs_ += 2.0 * arrivalsOfGroup;
     ++arrivalsOfGroup;
     ++arrivals_;
 }
@@ -40,9 +40,10 @@
 
 std::ptrdiff_t AffinityGroups::endpointsPerGroup(std::size_t endpointCount) const {
     const double pairs = arrivals_ * (arrivals_ - 1.0);
-    const double shareOfOneGroup = (pairsOfOneGroup_ + 1.0) / (pairs + kPriorPairs);
-    const double filled = kEndpointsMargin * shareOfOneGroup * static_cast<double>(endpointCount);
-    return static_cast<std::ptrdiff_t>(std::ceil(std::max(kMinEndpoints, filled)));
+    const double sameGroupProbability = (sameGroupPairs_ + 1.0) / (pairs + kPriorPairs);
+    const double endpointsFilled =
+        kEndpointsMargin * sameGroupProbability * static_cast<double>(endpointCount);
+    return static_cast<std::ptrdiff_t>(std::ceil(std::max(kMinEndpoints, endpointsFilled)));
 }
 
 }  // namespace ivyreel
--- a/src/decision/affinity_groups.hpp
+++ b/src/decision/affinity_groups.hpp
@@ -38,8 +38,8 @@
 
   private:
     MemberMap members_;
-    std::map<GroupId, int> arrivalsOf_;
-    double pairsOfOneGroup_ = 0.0;  // ordered pairs of arrivals
+    std::map<GroupId, int> arrivalsByGroup_;
+    double sameGroupPairs_ = 0.0;  // ordered pairs of arrivals
     double arrivals_ = 0.0;
 };
 
--- a/src/decision/decision_state.hpp
+++ b/src/decision/decision_state.hpp
@@ -39,7 +39,7 @@
     Settings settings;
     SplitMix64 random;
     Time startedAt{0};
-    Time newUntil{0};  // until then the node counts as new, and other nodes' clients come to it
+    Time newNodeUntil{0};  // until then the node counts as new, and other nodes' clients come to it
     bool requestTimerSet = false;
 
     EndpointTable endpoints;
--- a/src/decision/endpoint_selection_engine.cpp
+++ b/src/decision/endpoint_selection_engine.cpp
@@ -19,7 +19,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kNewNodeSpan = 5s;  // longer than another node takes to stop
+constexpr Micros kNewNodePeriod = 5s;  // longer than another node takes to stop
 
 const RequestClassSettings& classSettings(const Settings& settings, RequestClassIndex requestClass) {
     static const RequestClassSettings kUnlisted;  // the strictest reading: not idempotent
@@ -43,10 +43,11 @@
 void EndpointSelectionEngine::on(const Started& /*event*/, Step step) {
     state_.startedAt = step.now;
     state_.arrivals.start(step.now);
-    if (isSmallFleet(state_.settings.nodes)) state_.newUntil = step.now + kNewNodeSpan;
+    if (isSmallFleet(state_.settings.nodes)) state_.newNodeUntil = step.now + kNewNodePeriod;
     if (state_.settings.discoveryMode == DiscoveryMode::Poll) pollEndpointList(step);
-    const Micros first = scaled(endpointTimerInterval(state_.settings), state_.random.next()) + Micros{1};
-    step.actions.emplace_back(SetTimer{first, kEndpointTimer});
+    const Micros firstDelay =
+        scaled(endpointTimerInterval(state_.settings), state_.random.next()) + Micros{1};
+    step.actions.emplace_back(SetTimer{firstDelay, kEndpointTimer});
 }
 
 // What was learned stays, and each request keeps the settings of its class that it came with.
@@ -102,8 +103,8 @@
 
 void EndpointSelectionEngine::runRequestTimer(Step step) {
     state_.requestTimerSet = false;
-    endOverdueRequests(state_, step);
-    retryWaitingRequests(state_, RetryScope::Answered, step);
+    finishExpiredRequests(state_, step);
+    retryWaitingRequests(state_, RetryScope::PollResolved, step);
     setRequestTimer(state_, step);
 }
 
@@ -149,7 +150,7 @@
     if (event.report) takeLoadReport(state_, *endpoint, *event.report, step);
     const double limit = kFullUtilisation * state_.saturationThreshold.withTolerance();
     const bool hasSpareCapacity = event.report && endpoint->utilisation < limit;
-    retryWaitingRequests(state_, hasSpareCapacity ? RetryScope::All : RetryScope::Answered, step);
+    retryWaitingRequests(state_, hasSpareCapacity ? RetryScope::All : RetryScope::PollResolved, step);
 }
 
 // ---- a request's life ----
@@ -190,7 +191,7 @@
     request.attempts = 1;
     request.target.id = event.endpoint;
     request.connected = true;
-    state_.newUntil = step.now;
+    state_.newNodeUntil = step.now;
     state_.endpoints.findOrAdd(event.endpoint);
     countConnectionIn(state_, request);
 }
--- a/src/decision/locality_preference.cpp
+++ b/src/decision/locality_preference.cpp
@@ -32,10 +32,10 @@
     const double cost = context.settings.crossZoneCost;
     const double fadingRange = std::max(threshold - kFullPreferenceBelow, kMinFadingRange) *
                                std::min(1.0, kHighCrossZoneCost / cost);
-    const double ownLoad = sum / count / kFullUtilisation;
-    const double faded = std::clamp((ownLoad - threshold) / fadingRange + 1.0, 0.0, 1.0);
-    const double least = kHalvingCrossZoneCost / (kHalvingCrossZoneCost + cost);
-    return least + (1.0 - least) * faded;
+    const double localLoad = sum / count / kFullUtilisation;
+    const double faded = std::clamp((localLoad - threshold) / fadingRange + 1.0, 0.0, 1.0);
+    const double minimumWeight = kHalvingCrossZoneCost / (kHalvingCrossZoneCost + cost);
+    return minimumWeight + (1.0 - minimumWeight) * faded;
 }
 
 }  // namespace ivyreel
--- a/src/decision/request_placement.cpp
+++ b/src/decision/request_placement.cpp
@@ -34,11 +34,11 @@
 
 // A request waits while an endpoint may come back or get spare capacity, and is rejected before its latency
 // objective has passed.
-void keepWaiting(DecisionState& state, RequestId id, Request& request, Step step) {
+void waitOrFinish(DecisionState& state, RequestId id, Request& request, Step step) {
     const Micros maxWait = scaled(request.requestClass.latencyObjective, kMaxWaitShare);
-    const bool waitedLong = step.now >= request.arrivedAt + maxWait;
-    const bool hopeless = !mayRetry(request, state.settings, step.now);
-    if (hopeless || (waitedLong && mayReject(request))) finishRequest(state, id, request, step);
+    const bool maxWaitReached = step.now >= request.arrivedAt + maxWait;
+    const bool retryImpossible = !mayRetry(request, state.settings, step.now);
+    if (retryImpossible || (maxWaitReached && mayReject(request))) finishRequest(state, id, request, step);
 }
 
 void startAttempt(DecisionState& state, RequestId id, Request& request, Endpoint& endpoint, Step step) {
@@ -48,7 +48,7 @@
     ++request.attempts;
     // Departure, a new node: what comes again to a node that started with nothing was at another one before:
     // no more load. Prevents that a node which takes over from one that stops sees all endpoints full.
-    const bool fromAnotherNode = request.arrival.reconnecting && step.now < state.newUntil;
+    const bool fromAnotherNode = request.arrival.reconnecting && step.now < state.newNodeUntil;
     const RecentSend send{id, step.now, request.load, fromAnotherNode};
     endpoint.recentSends.push_back(send);
     state.fleet.recordSend(send);
@@ -68,16 +68,17 @@
 
 void placeRequest(DecisionState& state, RequestId id, Request& request, Step step) {
     if (areAttemptsExhausted(request, state.settings.limits)) return finishRequest(state, id, request, step);
-    if (step.now >= lastMoment(request, state.settings)) return finishRequest(state, id, request, step);
+    if (step.now >= finalAnswerDeadline(request, state.settings))
+        return finishRequest(state, id, request, step);
     const bool fleetBusy = isFleetBusy(state.fleet.snapshot(), state.saturationThreshold);
     if (state.admission.shouldShed(request, state.settings, fleetBusy))
         return finishRequest(state, id, request, step);
     const std::optional<Selection> selection = select(state, request, step.now);
     request.waitsForReport = selection && selection->pollFirst;
-    if (!selection) return keepWaiting(state, id, request, step);
+    if (!selection) return waitOrFinish(state, id, request, step);
     if (selection->pollFirst) {
         pollLoad(state, request, selection->endpoint, step);
-        return keepWaiting(state, id, request, step);
+        return waitOrFinish(state, id, request, step);
     }
     startAttempt(state, id, request, *state.endpoints.find(selection->endpoint), step);
 }
@@ -92,10 +93,10 @@
     }
 }
 
-void endOverdueRequests(DecisionState& state, Step step) {
+void finishExpiredRequests(DecisionState& state, Step step) {
     for (const RequestId id : state.requests.unconnected()) {
         const Request& request = *state.requests.find(id);
-        if (step.now >= lastMoment(request, state.settings)) finishRequest(state, id, request, step);
+        if (step.now >= finalAnswerDeadline(request, state.settings)) finishRequest(state, id, request, step);
     }
 }
 
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -56,7 +56,7 @@
     return outcome != Outcome::Rejected && outcome != Outcome::ConnectFailed && outcome != Outcome::NotSent;
 }
 
-Time lastMoment(const Request& request, const Settings& settings) {
+Time finalAnswerDeadline(const Request& request, const Settings& settings) {
     return request.deadline - requestTimerInterval(settings) - settings.resolution;
 }
 
@@ -65,10 +65,10 @@
     if (areAttemptsExhausted(request, limits)) return untilDeadline;
     if (request.requestClass.idempotency == Idempotency::NonIdempotent) return untilDeadline;
     const Micros untilObjective = request.arrivedAt + request.requestClass.latencyObjective - now;
-    const Micros usualSetup{static_cast<Micros::rep>(kSetupTimesPerAttempt * meanSetupMicros)};
-    const Micros least = std::max(limits.connectTimeout, usualSetup);
+    const Micros setupAllowance{static_cast<Micros::rep>(kSetupTimesPerAttempt * meanSetupMicros)};
+    const Micros minimumTimeout = std::max(limits.connectTimeout, setupAllowance);
     const Micros available = untilObjective > Micros{0} ? untilObjective : untilDeadline;
-    return std::min(untilDeadline, std::max(least, available / 2));
+    return std::min(untilDeadline, std::max(minimumTimeout, available / 2));
 }
 
 }  // namespace ivyreel
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -27,7 +27,7 @@
 bool mayHaveExecuted(Outcome outcome);
 
 // The last time at which an attempt may begin or a final answer be given.
-Time lastMoment(const Request& request, const Settings& settings);
+Time finalAnswerDeadline(const Request& request, const Settings& settings);
 
 // For the attempt that begins now and is counted already: half of what is left of the latency objective, so
 // that another attempt fits, but not less than setting a connection up usually takes.
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -12,13 +12,14 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kBudgetShare = 0.8;         // of the stated budget: endpoints of one kind differ in size
-constexpr double kCapacityGuessShare = 0.5;  // of what loads and listed sizes suggest: speeds differ twofold
+constexpr double kBudgetShare = 0.8;  // of the stated budget: endpoints of one kind differ in size
+constexpr double kCapacityEstimateShare =
+    0.5;                                     // of what loads and listed sizes suggest: speeds differ twofold
 constexpr double kMaxProbability = 0.99;     // of selection: the next one or two requests of a turn
-constexpr double kOpenTurnDeviations = 2.0;  // standard deviations of a count of independent senders
+constexpr double kOpenSlotDeviations = 2.0;  // standard deviations of a count of independent senders
 
 // Turns go round in steps of about the golden section: neighbours may be of one zone.
-std::uint32_t turnStride(std::uint32_t nodes) {
+std::uint32_t nodeStride(std::uint32_t nodes) {
     std::uint32_t stride = std::max(1U, nodes * 5 / 8);
     while (std::gcd(stride, nodes) != 1)
         ++stride;
@@ -26,7 +27,7 @@
 }
 
 // This node's place in the order of turns at the endpoint, 1 to the number of nodes.
-double turnPosition(const Endpoint& endpoint, const Settings& settings, std::uint32_t stride) {
+double slotPosition(const Endpoint& endpoint, const Settings& settings, std::uint32_t stride) {
     const std::uint64_t offset = mix(static_cast<std::uint64_t>(endpoint.entry.id)) >> 32U;
     const std::uint64_t index = settings.nodeIndex.value_or(static_cast<std::uint32_t>(mix(settings.seed)));
     const std::uint64_t position = (index * stride + offset) % settings.nodes;
@@ -41,7 +42,7 @@
       capacity_(capacity),
       loads_(loads),
       kinds_(kinds),
-      turnStride_(turnStride(context.settings.nodes)) {}
+      nodeStride_(nodeStride(context.settings.nodes)) {}
 
 bool SlowStart::isWarmingUp(const Endpoint& endpoint) const {
     return ivyreel::isWarmingUp(endpoint, context_.settings.operatingLimits, context_.now);
@@ -49,9 +50,9 @@
 
 double SlowStart::connectionsAtCapacity(const Endpoint& endpoint) const {
     const double capacity = capacity_.typicalCapacity(kMinCapacity, context_.endpoints.meanListedSize());
-    const double guess = kCapacityGuessShare * capacity / loads_.typical();
+    const double estimatedConnections = kCapacityEstimateShare * capacity / loads_.typical();
     const double size = context_.endpoints.relativeSize(endpoint);
-    return kinds_.connectionsAtCapacity(endpoint.entry.kind, size, guess);
+    return kinds_.connectionsAtCapacity(endpoint.entry.kind, size, estimatedConnections);
 }
 
 // Departure, slow start: the connections that a warming-up endpoint may have are dealt out to the nodes in
@@ -59,7 +60,7 @@
 // whatever each makes of its own share, and on whatever path a request comes to be sent. As many turns are
 // open at once as a count may differ by chance where senders are independent, two standard deviations, and
 // one: so no window has more than its budget and that, whoever sends.
-SlowStartTurns SlowStart::turns(const Endpoint& endpoint) const {
+SlowStartSlots SlowStart::slots(const Endpoint& endpoint) const {
     const Settings& settings = context_.settings;
     const OperatingLimits& limits = settings.operatingLimits;
     // Over the whole slow start, if it were warm all the time.
@@ -68,12 +69,12 @@
         return total * progress *
                (limits.slowStartInitialShare + (1.0 - limits.slowStartInitialShare) * progress / 2.0);
     };
-    const double position = turnPosition(endpoint, settings, turnStride_);
-    SlowStartTurns result;
+    const double position = slotPosition(endpoint, settings, nodeStride_);
+    SlowStartSlots result;
     result.perSecond =
         total * warmUpShare(endpoint, limits, context_.now) / seconds(limits.slowStartDuration);
     const double perWindow = result.perSecond * seconds(limits.overloadWindow);
-    result.open = kOpenTurnDeviations * std::sqrt(perWindow) + 1.0;
+    result.open = kOpenSlotDeviations * std::sqrt(perWindow) + 1.0;
     const double dueNow = dueUntil(warmUpProgress(endpoint, limits, context_.now));
     const double used = dueUntil(warmUpProgress(endpoint, limits, endpoint.slowStartTurnsFrom));
     const double from = std::max(used, dueNow - result.open);
@@ -83,26 +84,27 @@
 }
 
 bool SlowStart::admits(const Request& request, const Endpoint& endpoint) const {
-    const SlowStartTurns available = turns(endpoint);
-    const double cost = std::max(1.0, request.arrival.loadHint.value_or(0.0) / loads_.typical());
+    const SlowStartSlots available = slots(endpoint);
+    const double slotsNeeded = std::max(1.0, request.arrival.loadHint.value_or(0.0) / loads_.typical());
     const std::uint64_t hash = mix(static_cast<std::uint64_t>(endpoint.entry.id));
-    const double chance = unitInterval(mix(request.randomNumber + hash));
-    return cost <= available.open + 1.0 && cost * chance < available.own;
+    const double uniformSample = unitInterval(mix(request.randomNumber + hash));
+    return slotsNeeded <= available.open + 1.0 && slotsNeeded * uniformSample < available.own;
 }
 
 // While a turn is open here, with as many arrivals as that takes.
 double SlowStart::selectionProbability(const Candidate& candidate, double totalWeight,
                                        const ArrivalRate& arrivals) const {
-    const SlowStartTurns available = turns(*candidate.endpoint);
+    const SlowStartSlots available = slots(*candidate.endpoint);
     const double nodes = context_.settings.nodes;
-    const double wanted = candidate.weight / totalWeight * std::max(1.0, nodes / available.open);
-    if (nodes <= available.open) return wanted;
-    const double arrivalsPerTurn = arrivals.perSecond(context_.now) * available.open / available.perSecond;
-    if (wanted * arrivalsPerTurn < 1.0) return -std::log1p(-wanted * arrivalsPerTurn) / arrivalsPerTurn;
+    const double targetProbability = candidate.weight / totalWeight * std::max(1.0, nodes / available.open);
+    if (nodes <= available.open) return targetProbability;
+    const double arrivalsPerSlot = arrivals.perSecond(context_.now) * available.open / available.perSecond;
+    if (targetProbability * arrivalsPerSlot < 1.0)
+        return -std::log1p(-targetProbability * arrivalsPerSlot) / arrivalsPerSlot;
     return 1.0;
 }
 
-void SlowStart::weighByTurns(CandidateSet& set, const ArrivalRate& arrivals) const {
+void SlowStart::adjustWeightsToSlots(CandidateSet& set, const ArrivalRate& arrivals) const {
     double others = 0.0;
     for (const Candidate& candidate : set.candidates)
         others += isWarmingUp(*candidate.endpoint) ? 0.0 : std::max(0.0, candidate.weight);
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -17,7 +17,7 @@
 
 namespace ivyreel {
 
-struct SlowStartTurns {
+struct SlowStartSlots {
     double perSecond = 0.0;  // connections that the endpoint may get from all nodes now
     double open = 0.0;       // turns that are open at once at all nodes
     double own = 0.0;        // and at this one
@@ -32,7 +32,7 @@
     bool isWarmingUp(const Endpoint& endpoint) const;
 
     // Of an endpoint that warms up.
-    SlowStartTurns turns(const Endpoint& endpoint) const;
+    SlowStartSlots slots(const Endpoint& endpoint) const;
 
     // Whether this node has the turns that the request takes there. One above the typical load takes several,
     // or the one that is open by chance, unless it is too much.
@@ -40,7 +40,7 @@
 
     // Raises the weights of endpoints that warm up, so that over all nodes they are selected as their weight
     // says though only the nodes whose turn it is select them; some turns pass unused.
-    void weighByTurns(CandidateSet& set, const ArrivalRate& arrivals) const;
+    void adjustWeightsToSlots(CandidateSet& set, const ArrivalRate& arrivals) const;
 
   private:
     double connectionsAtCapacity(const Endpoint& endpoint) const;
@@ -51,7 +51,7 @@
     const FleetCapacityEstimate& capacity_;
     const ConnectionLoadEstimate& loads_;
     const KindCapacityEstimate& kinds_;
-    std::uint32_t turnStride_;
+    std::uint32_t nodeStride_;
 };
 
 }  // namespace ivyreel
--- a/src/decision/weighted_selection.cpp
+++ b/src/decision/weighted_selection.cpp
@@ -27,15 +27,16 @@
     return request.randomNumber;
 }
 
-double raceTime(const Candidate& candidate) {
-    return candidate.exponential / (candidate.weight > 0.0 ? candidate.weight : 1.0);
+double rendezvousScore(const Candidate& candidate) {
+    return candidate.exponentialSample / (candidate.weight > 0.0 ? candidate.weight : 1.0);
 }
 
 // The first in the race. Members of a group go where this node has most of them, and an endpoint without
 // weight wins only where all are.
-const Candidate& leader(const std::vector<Candidate>& candidates) {
+const Candidate& bestCandidate(const std::vector<Candidate>& candidates) {
     const auto rank = [](const Candidate& candidate) {
-        return std::tuple(-candidate.groupMembers, candidate.weight > 0.0 ? 0 : 1, raceTime(candidate));
+        return std::tuple(-candidate.groupMembers, candidate.weight > 0.0 ? 0 : 1,
+                          rendezvousScore(candidate));
     };
     return *std::min_element(
         candidates.begin(), candidates.end(),
@@ -43,8 +44,8 @@
 }
 
 // The race before any weight but that of the locality.
-double unweightedRaceTime(const Candidate& candidate) {
-    return candidate.exponential / candidate.locality;
+double localityScore(const Candidate& candidate) {
+    return candidate.exponentialSample / candidate.locality;
 }
 
 }  // namespace
@@ -64,11 +65,11 @@
     CandidateSet set = findCandidates(request);
     if (set.candidates.empty()) return std::nullopt;
     if (shedOverloaded(set, request)) return std::nullopt;
-    slowStart_.weighByTurns(set, arrivals_);
+    slowStart_.adjustWeightsToSlots(set, arrivals_);
     // One that can be polled could weigh up to 100; if it leads even so, it is polled, so that the selection
     // is as with all loads known.
-    const Candidate& first = leader(set.candidates);
-    return Selection{first.endpoint->entry.id, first.canBePolled};
+    const Candidate& best = bestCandidate(set.candidates);
+    return Selection{best.endpoint->entry.id, best.canBePolled};
 }
 
 CandidateSet WeightedSelection::findCandidates(const Request& request) const {
@@ -78,7 +79,7 @@
 }
 
 CandidateSet WeightedSelection::findCandidates(const Request& request, Eligibility eligibility) const {
-    const bool meetsGroup = fleetBusy_ && hasAffinity(request, context_.settings);
+    const bool concentratesGroup = fleetBusy_ && hasAffinity(request, context_.settings);
     const std::uint64_t key = mix(selectionKey(request, context_.settings));
     AffinityGroups::MemberCursor members = groups_.membersOf(request.arrival.group);
     CandidateSet result;
@@ -86,12 +87,12 @@
     for (const Endpoint& endpoint : context_.endpoints) {
         if (!isEligible(endpoint, request, eligibility)) continue;
         const EndpointId id = endpoint.entry.id;
-        const int groupMembers = meetsGroup ? members.countAt(id) : 0;
-        const double chance = unitInterval(mix(key ^ mix(static_cast<std::uint64_t>(id) + 1)));
-        result.candidates.push_back({&endpoint, groupMembers, -std::log(chance)});
+        const int groupMembers = concentratesGroup ? members.countAt(id) : 0;
+        const double uniformSample = unitInterval(mix(key ^ mix(static_cast<std::uint64_t>(id) + 1)));
+        result.candidates.push_back({&endpoint, groupMembers, -std::log(uniformSample)});
     }
     setWeights(result, request);
-    if (meetsGroup && eligibility == Eligibility::Preferred) keepGroupEndpoints(result);
+    if (concentratesGroup && eligibility == Eligibility::Preferred) retainGroupEndpoints(result);
     return result;
 }
 
@@ -104,9 +105,10 @@
     if (eligibility == Eligibility::Any) return true;
     const auto& tried = request.triedEndpoints;
     if (std::find(tried.begin(), tried.end(), endpoint.entry.id) != tried.end()) return false;
-    const bool silent = wasPolledFor(request, endpoint) && !isLoadKnown(endpoint, settings, context_.now) &&
-                        !canBePolled(endpoint, request, settings, context_.now);
-    return !silent;
+    const bool unresponsive = wasPolledFor(request, endpoint) &&
+                              !isLoadKnown(endpoint, settings, context_.now) &&
+                              !canBePolled(endpoint, request, settings, context_.now);
+    return !unresponsive;
 }
 
 void WeightedSelection::setWeights(CandidateSet& set, const Request& request) const {
@@ -139,18 +141,18 @@
 // its part of the arrivals here. Prevents that nodes whose reports differ scatter the groups over the fleet,
 // where each endpoint pays for them, and that a busy fleet so adds to its own load. One with spare capacity
 // is better off with an even spread.
-void WeightedSelection::keepGroupEndpoints(CandidateSet& set) const {
+void WeightedSelection::retainGroupEndpoints(CandidateSet& set) const {
     const std::ptrdiff_t kept = groups_.endpointsPerGroup(context_.endpoints.size());
     if (std::ssize(set.candidates) <= kept) return;
-    std::vector<double> times;
-    times.reserve(set.candidates.size());
+    std::vector<double> scores;
+    scores.reserve(set.candidates.size());
     for (const Candidate& candidate : set.candidates)
-        times.push_back(unweightedRaceTime(candidate));
-    std::nth_element(times.begin(), times.begin() + kept - 1, times.end());
-    const double last = times[static_cast<std::size_t>(kept) - 1];
+        scores.push_back(localityScore(candidate));
+    std::nth_element(scores.begin(), scores.begin() + kept - 1, scores.end());
+    const double highestRetained = scores[static_cast<std::size_t>(kept) - 1];
     std::erase_if(set.candidates, [&](const Candidate& candidate) {
         return candidate.groupMembers == 0 && !slowStart_.isWarmingUp(*candidate.endpoint) &&
-               unweightedRaceTime(candidate) > last;
+               localityScore(candidate) > highestRetained;
     });
 }
 
--- a/src/decision/weighted_selection.hpp
+++ b/src/decision/weighted_selection.hpp
@@ -44,7 +44,7 @@
     CandidateSet findCandidates(const Request& request, Eligibility eligibility) const;
     bool isEligible(const Endpoint& endpoint, const Request& request, Eligibility eligibility) const;
     void setWeights(CandidateSet& set, const Request& request) const;
-    void keepGroupEndpoints(CandidateSet& set) const;
+    void retainGroupEndpoints(CandidateSet& set) const;
     bool hasSpareCapacity(const Candidate& candidate) const;
     bool shedOverloaded(CandidateSet& set, const Request& request) const;
 
--- a/tests/decision/admission_control_test.cpp
+++ b/tests/decision/admission_control_test.cpp
@@ -133,7 +133,7 @@
     EXPECT_FALSE(AdmissionControl{}.shouldShed(requestOfTenant(0), quotaSettings(), true));
 }
 
-TEST(AdmissionControl, DoesNotShedWhatMayNotBeRejected) {
+TEST(AdmissionControl, DoesNotShedRequestThatMayNotBeRejected) {
     Request request = requestOfTenant(0);
     request.requestClass.idempotency = Idempotency::NonIdempotent;
     request.mayHaveExecuted = true;
--- a/tests/decision/affinity_groups_test.cpp
+++ b/tests/decision/affinity_groups_test.cpp
@@ -117,7 +117,7 @@
     EXPECT_EQ(groups.endpointsPerGroup(100), 2);
 }
 
-TEST(AffinityGroups, EndpointsFollowTheGroupsPartOfTheArrivals) {
+TEST(AffinityGroups, EndpointCountFollowsGroupShareOfArrivals) {
     AffinityGroups single;
     AffinityGroups five;
     for (std::uint64_t i = 0; i < 1000; ++i) {
@@ -128,7 +128,7 @@
     EXPECT_EQ(five.endpointsPerGroup(100), 60);
 }
 
-TEST(AffinityGroups, ForgetsArrivalsAfterTooManyGroups) {
+TEST(AffinityGroups, ResetsArrivalCountsAfterTooManyGroups) {
     AffinityGroups groups;
     for (int i = 0; i < 5000; ++i)
         groups.recordArrival(GroupId{1});
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -28,7 +28,7 @@
     EXPECT_EQ(d.attempts(request), 1);
 }
 
-std::vector<std::uint64_t> history(std::uint64_t seed) {
+std::vector<std::uint64_t> selectedEndpoints(std::uint64_t seed) {
     Settings settings = defaultSettings();
     settings.seed = seed;
     DecisionEngineDriver d = makeFleet(settings, 5, 0.5);
@@ -43,8 +43,8 @@
 }
 
 TEST(DecisionEngine, SameSeedGivesSameActionsAndSeedsDiffer) {
-    EXPECT_EQ(history(3), history(3));
-    EXPECT_NE(history(3), history(4));
+    EXPECT_EQ(selectedEndpoints(3), selectedEndpoints(3));
+    EXPECT_NE(selectedEndpoints(3), selectedEndpoints(4));
 }
 
 TEST(DecisionEngine, SingleEndpointAndNodeServe) {
@@ -66,15 +66,15 @@
     const RequestId request = d.submitRequest();
     d.deliver(AttemptEnded{request, AttemptIndex{0}, EndpointId{d.target(request)}, Outcome::Ok, 5ms, true,
                            loadReport(1.0)});
-    const std::uint64_t loaded = d.target(request);
+    const std::uint64_t reportingEndpoint = d.target(request);
     for (int i = 0; i < 20; ++i) {
         const RequestId next = d.submitRequest();
         // The missing report of the other one counts as the mean, which is full too: both are treated alike.
         d.deliver(ClientDisconnected{next});
     }
-    d.deliver(AttemptEnded{RequestId{999}, AttemptIndex{0}, EndpointId{3 - loaded}, Outcome::Ok, 5ms, true,
-                           loadReport(0.2)});
-    EXPECT_EQ(d.target(d.submitRequest()), 3 - loaded);
+    d.deliver(AttemptEnded{RequestId{999}, AttemptIndex{0}, EndpointId{3 - reportingEndpoint}, Outcome::Ok,
+                           5ms, true, loadReport(0.2)});
+    EXPECT_EQ(d.target(d.submitRequest()), 3 - reportingEndpoint);
 }
 
 TEST(DecisionEngine, InPassthroughModeNodesSelectSameEndpointByFlowKey) {
--- a/tests/decision/locality_preference_test.cpp
+++ b/tests/decision/locality_preference_test.cpp
@@ -8,7 +8,7 @@
 namespace ivyreel::test {
 namespace {
 
-double shareOfOwnZone(double ownLoad, double availabilityWeight = 0.0) {
+double localZoneShare(double ownLoad, double availabilityWeight = 0.0) {
     Settings settings = defaultSettings();
     settings.nodes = 1;
     settings.availabilityWeight = availabilityWeight;
@@ -26,36 +26,36 @@
 }
 
 TEST(LocalityPreference, PrefersOwnZoneAndSpillsOverWhenFull) {
-    EXPECT_GT(shareOfOwnZone(0.3), 0.7);
-    EXPECT_LT(shareOfOwnZone(0.3), 0.85) << "other zones keep a share";
-    EXPECT_NEAR(shareOfOwnZone(0.84), 0.5, 0.05);
+    EXPECT_GT(localZoneShare(0.3), 0.7);
+    EXPECT_LT(localZoneShare(0.3), 0.85) << "other zones keep a share";
+    EXPECT_NEAR(localZoneShare(0.84), 0.5, 0.05);
 }
 
 // Guards against a preference that vanishes where the saturation threshold is low.
 TEST(LocalityPreference, PrefersOwnZoneWithLowSaturationThreshold) {
-    EXPECT_GT(shareOfOwnZone(0.3, 1.0), 0.7);
+    EXPECT_GT(localZoneShare(0.3, 1.0), 0.7);
 }
 
 // Guards against cross-zone connections that no lack of capacity requires: half of all connections in groups.
 TEST(LocalityPreference, GroupsStayInZoneDependingOnCrossZoneCost) {
-    const auto crossing = [](double price) {
+    const auto crossing = [](double cost) {
         Settings settings = defaultSettings();
         settings.nodes = 1;
         settings.groupAffinity = true;
-        settings.crossZoneCost = price;
+        settings.crossZoneCost = cost;
         DecisionEngineDriver d{settings};
         for (std::uint64_t id = 1; id <= 8; ++id)
             d.setReportedLoad(id, 0.3);
         d.updateEndpointList({endpointEntry(1, 0), endpointEntry(2, 0), endpointEntry(3, 0),
                               endpointEntry(4, 0), endpointEntry(5, 1), endpointEntry(6, 1),
                               endpointEntry(7, 1), endpointEntry(8, 1)});
-        int there = 0;
+        int crossZoneCount = 0;
         for (std::uint64_t group = 1; group <= 1000; ++group) {
             const RequestId request = d.submitRequest(group);
-            there += d.target(request) > 4 ? 1 : 0;
+            crossZoneCount += d.target(request) > 4 ? 1 : 0;
             d.endAttempt(request, Outcome::Ok, true);
         }
-        return there / 1000.0;
+        return crossZoneCount / 1000.0;
     };
     EXPECT_NEAR(crossing(0.0), 0.5, 0.07);
     EXPECT_NEAR(crossing(0.02), 0.17, 0.05);
@@ -76,7 +76,7 @@
     return crossZoneWeight(context, UtilisationEstimate{context, fleet});
 }
 
-TEST(LocalityPreference, WeighsOtherZonesLowestWhileTheOwnHasCapacity) {
+TEST(LocalityPreference, OtherZonesHaveMinimumWeightWhileOwnZoneHasCapacity) {
     const double lowest = 0.005 / (0.005 + 0.02);
     EXPECT_DOUBLE_EQ(weightAtLoad(0.0), lowest);
     EXPECT_DOUBLE_EQ(weightAtLoad(0.64), lowest);
@@ -88,7 +88,7 @@
     EXPECT_DOUBLE_EQ(weightAtLoad(3.0), 1.0);
 }
 
-TEST(LocalityPreference, FollowsTheCost) {
+TEST(LocalityPreference, WeightDecreasesWithCrossZoneCost) {
     EXPECT_DOUBLE_EQ(weightAtLoad(0.3, 0.0), 1.0) << "free of cost, and nothing is divided by zero";
     EXPECT_DOUBLE_EQ(weightAtLoad(0.3, 0.005), 0.5);
     EXPECT_LT(weightAtLoad(0.3, 0.1), 0.05);
--- a/tests/decision/request_table_test.cpp
+++ b/tests/decision/request_table_test.cpp
@@ -61,7 +61,7 @@
     EXPECT_DOUBLE_EQ(endpoint.ownLoad, 50'000);
 }
 
-TEST(EndpointConnections, LeaveNoLoadBehind) {
+TEST(EndpointConnections, LeaveNoResidualLoad) {
     Endpoint endpoint;
     addConnection(endpoint, 30'000);
     addConnection(endpoint, 30'000);
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-TEST(RetryPolicy, RequestWithKeyThatNeverRanMayLeaveScope) {
+TEST(RetryPolicy, UnexecutedRequestWithKeyMayLeaveScope) {
     DecisionEngineDriver d = makeDriver(withIdempotency(Idempotency::WithKey, DeduplicationScope::Cell),
                                         {endpointEntry(1, 0, 1), endpointEntry(2, 0, 2)});
     const RequestId request = d.submitRequest();
@@ -147,7 +147,7 @@
     }
 }
 
-TEST(RetryPolicy, RequestWithKeyThatMayHaveRunIsRejectedOnlyIfScopeIsAll) {
+TEST(RetryPolicy, RequestWithKeyThatMayHaveExecutedIsRejectedOnlyIfScopeIsAll) {
     for (const DeduplicationScope scope :
          {DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell}) {
         Settings settings = withIdempotency(Idempotency::WithKey, scope);
@@ -209,7 +209,7 @@
     }
 }
 
-TEST(RetryPolicy, SmallerAttemptLimitCounts) {
+TEST(RetryPolicy, SmallerAttemptLimitApplies) {
     Request request;
     request.maxAttempts = 3;
     RequestLimits limits;
@@ -234,7 +234,7 @@
     EXPECT_FALSE(mayRetry(executedRequest(Idempotency::NonIdempotent), settings, kNow));
 }
 
-TEST(RetryPolicy, WhatNeverExecutedIsNotRestricted) {
+TEST(RetryPolicy, UnexecutedRequestIsNotRestricted) {
     Request request = executedRequest(Idempotency::NonIdempotent, DeduplicationScope::Cell);
     request.mayHaveExecuted = false;
     EXPECT_TRUE(mayRetry(request, defaultSettings(), kNow + 3600s));
@@ -264,12 +264,12 @@
     EXPECT_FALSE(mayReject(executedRequest(Idempotency::WithKey, DeduplicationScope::Zone)));
 }
 
-TEST(RetryPolicy, LastMomentLeavesTimeForTheTimerAndTheResolution) {
+TEST(RetryPolicy, FinalAnswerDeadlineAllowsForTimerAndEventResolution) {
     Settings settings = defaultSettings();
     settings.resolution = 50ms;
     Request request;
     request.deadline = kNow;
-    EXPECT_EQ(lastMoment(request, settings), kNow - 100ms);
+    EXPECT_EQ(finalAnswerDeadline(request, settings), kNow - 100ms);
 }
 
 // The timeout of an attempt that starts so long after the arrival; the objective is 800 ms, the deadline 3 s.
@@ -288,19 +288,19 @@
     return attemptTimeout(request, limits, meanSetupMicros, kNow + elapsed);
 }
 
-TEST(RetryPolicy, AttemptGetsHalfOfWhatIsLeft) {
+TEST(RetryPolicy, AttemptTimeoutIsHalfOfRemainingTime) {
     EXPECT_EQ(timeoutAfter(0ms), 400ms);
     EXPECT_EQ(timeoutAfter(600ms), 250ms) << "the connect timeout at least";
     EXPECT_EQ(timeoutAfter(1s), 1s) << "past the objective the deadline counts";
     EXPECT_EQ(timeoutAfter(0ms, 1, 200'000), 600ms) << "three times the usual setup time at least";
 }
 
-TEST(RetryPolicy, AttemptNeverOutlastsTheDeadline) {
+TEST(RetryPolicy, AttemptTimeoutNeverExceedsDeadline) {
     EXPECT_EQ(timeoutAfter(2900ms), 100ms);
     EXPECT_EQ(timeoutAfter(0ms, 1, 1e9), 3s);
 }
 
-TEST(RetryPolicy, LastAttemptGetsAllThatIsLeft) {
+TEST(RetryPolicy, LastAttemptTimeoutExtendsToDeadline) {
     EXPECT_EQ(timeoutAfter(0ms, 4), 3s);
     EXPECT_EQ(timeoutAfter(0ms, 1, 0.0, Idempotency::NonIdempotent), 3s);
 }
--- a/tests/decision/saturation_threshold_test.cpp
+++ b/tests/decision/saturation_threshold_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // How many of 20 requests are sent to a fleet at 0.78, after its messages were late for a while, or were not.
-int acceptedOfTwenty(bool late) {
+int attemptsForTwentyRequests(bool late) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 2, 0.78);
     const RequestId open = d.submitRequest();
     d.establishConnection(open);
@@ -30,18 +30,18 @@
 }
 
 TEST(SaturationThreshold, IsLearnedFromLateMessages) {
-    EXPECT_EQ(acceptedOfTwenty(false), 20);
-    EXPECT_EQ(acceptedOfTwenty(true), 0);
+    EXPECT_EQ(attemptsForTwentyRequests(false), 20);
+    EXPECT_EQ(attemptsForTwentyRequests(true), 0);
 }
 
 // Guards against filling endpoints until a few messages are late, where few cost as much as many.
 TEST(SaturationThreshold, StartsLowerWithAvailabilityWeight) {
-    for (const double nines : {0.0, 0.4}) {
+    for (const double availabilityWeight : {0.0, 0.4}) {
         Settings settings = defaultSettings();
         settings.groupAffinity = true;
-        settings.availabilityWeight = nines;
+        settings.availabilityWeight = availabilityWeight;
         DecisionEngineDriver d = makeFleet(settings, 4, 0.7);
-        EXPECT_EQ(d.attempts(d.submitRequest(5)), nines > 0.0 ? 0 : 1);
+        EXPECT_EQ(d.attempts(d.submitRequest(5)), availabilityWeight > 0.0 ? 0 : 1);
     }
 }
 
@@ -66,7 +66,7 @@
     return threshold.value();
 }
 
-TEST(SaturationThreshold, StartsByTheSettings) {
+TEST(SaturationThreshold, InitialValueDependsOnSettings) {
     Settings settings = defaultSettings();
     EXPECT_DOUBLE_EQ(SaturationThreshold{settings}.value(), 0.85);
     settings.groupAffinity = true;
@@ -86,7 +86,7 @@
     EXPECT_DOUBLE_EQ(thresholdAfter(10'000, false), 0.9);
 }
 
-TEST(SaturationThreshold, IgnoresReportsThatAreFarAway) {
+TEST(SaturationThreshold, IgnoresReportsFarFromThreshold) {
     SaturationThreshold threshold{defaultSettings()};
     for (const double load : {0.0, 0.74, 0.96, 30.0, -1.0}) {
         threshold.learn(loadedEndpoint(load), kNow);
@@ -102,7 +102,7 @@
     EXPECT_DOUBLE_EQ(threshold.value(), 0.85);
 }
 
-TEST(SaturationThreshold, RemembersLateMessagesBriefly) {
+TEST(SaturationThreshold, LateMessagesCountForLimitedTime) {
     for (const Micros age : {Micros{1700ms - 1us}, Micros{1700ms}}) {
         SaturationThreshold threshold{defaultSettings()};
         Endpoint endpoint = loadedEndpoint(0.85);
@@ -136,7 +136,7 @@
     EXPECT_EQ(restored.value(), threshold.value());
 }
 
-TEST(SpareUtilisation, IsNoneFromTheThresholdOn) {
+TEST(SpareUtilisation, IsZeroFromTheThresholdOn) {
     LearnedFleetState learned;
     learned.saturationThreshold = 0.75;
     SaturationThreshold threshold{defaultSettings()};
--- a/tests/decision/settings_change_test.cpp
+++ b/tests/decision/settings_change_test.cpp
@@ -22,7 +22,7 @@
     }
 }
 
-TEST(SettingsChange, FewerAttemptsApplyAtOnceMoreToNewRequestsOnly) {
+TEST(SettingsChange, LowerAttemptLimitAppliesAtOnceHigherOnlyToNewRequests) {
     Settings few = defaultSettings();
     few.limits.maxAttempts = 1;
     Settings many = defaultSettings();
--- a/tests/decision/slow_start_fleet_test.cpp
+++ b/tests/decision/slow_start_fleet_test.cpp
@@ -35,7 +35,7 @@
     bool reportsConnections = true;  // load reports state the number of connections
     bool nodesRestart = true;        // a tenth of them at a time
     double arrivalsPerSecond = 250;  // of all nodes
-    double leastBudgetUse = 0.25;    // part of the budget that has to be used at least
+    double minimumBudgetUse = 0.25;  // part of the budget that has to be used at least
 };
 
 class FleetSimulation {
@@ -63,8 +63,8 @@
 
     void run(Micros span) {
         const Time end = now_ + span;
-        while (!agenda_.empty() && agenda_.begin()->first <= end) {
-            auto next = agenda_.extract(agenda_.begin());
+        while (!scheduledEvents_.empty() && scheduledEvents_.begin()->first <= end) {
+            auto next = scheduledEvents_.extract(scheduledEvents_.begin());
             now_ = next.key();
             next.mapped()();
         }
@@ -73,7 +73,7 @@
 
     // How far the attempts in any window exceed the budget N of a new endpoint, in the worst case, relative
     // to what chance may add: 2 * sqrt(N) + 2.
-    double worstWindow() const {
+    double worstBudgetExcess() const {
         double most = -1.0;
         for (const SimulatedEndpoint& endpoint : endpoints_) {
             if (endpoint.startedAt == Time{0}) continue;
@@ -124,7 +124,7 @@
 
     double uniform(double from, double to) { return from + (to - from) * unit(); }
     double unit() { return std::uniform_real_distribution<double>()(random_); }
-    void schedule(Time when, std::function<void()> what) { agenda_.emplace(when, std::move(what)); }
+    void schedule(Time when, std::function<void()> what) { scheduledEvents_.emplace(when, std::move(what)); }
 
     void makeEndpoints() {
         // Two kinds, one of half the capacity, each with a random spread. The mean load of a connection is 1
@@ -198,12 +198,12 @@
         const auto connections = std::exchange(nodes_[i].connections, {});
         for (const auto& [request, endpoint] : connections) {
             closeConnection(endpoint);
-            schedule(now_ + micros(uniform(0.05, 0.8)), [this] { submitRequest(someNode()); });
+            schedule(now_ + micros(uniform(0.05, 0.8)), [this] { submitRequest(randomRunningNode()); });
         }
         schedule(now_ + 600ms, [this, i] { startNode(i); });
     }
 
-    std::uint32_t someNode() {
+    std::uint32_t randomRunningNode() {
         for (;;) {
             const auto i = static_cast<std::uint32_t>(random_() % nodes_.size());
             if (nodes_[i].isRunning) return i;
@@ -276,7 +276,7 @@
                 const auto closed = nodes_[i].connections.extract(migration->request);
                 if (closed.empty()) continue;
                 closeConnection(closed.mapped());
-                schedule(now_ + 60ms, [this] { submitRequest(someNode()); });
+                schedule(now_ + 60ms, [this] { submitRequest(randomRunningNode()); });
             }
         }
     }
@@ -340,7 +340,7 @@
     std::mt19937_64 random_;
     Settings settings_;
     Time now_{1000s};
-    std::multimap<Time, std::function<void()>> agenda_;
+    std::multimap<Time, std::function<void()>> scheduledEvents_;
     std::vector<SimulatedEndpoint> endpoints_;
     std::vector<SimulatedNode> nodes_;
     std::vector<double> arrivalRates_;
@@ -354,11 +354,11 @@
     scenario.seed = seed;
     FleetSimulation simulation{scenario};
     simulation.run(26s);
-    RecordProperty("worstWindow", std::to_string(simulation.worstWindow()));
+    RecordProperty("worstWindow", std::to_string(simulation.worstBudgetExcess()));
     RecordProperty("budgetUse", std::to_string(simulation.budgetUse()));
-    EXPECT_LE(simulation.worstWindow(), 1.0)
+    EXPECT_LE(simulation.worstBudgetExcess(), 1.0)
         << "no window has more attempts than the budget and what chance adds";
-    EXPECT_GE(simulation.budgetUse(), scenario.leastBudgetUse) << "new endpoints are used";
+    EXPECT_GE(simulation.budgetUse(), scenario.minimumBudgetUse) << "new endpoints are used";
 }
 
 std::string scenarioName(const testing::TestParamInfo<SlowStartFleet::ParamType>& info) {
@@ -373,7 +373,7 @@
     testing::Combine(
         testing::Values(FleetScenario{.nodes = 25}, FleetScenario{.nodes = 100}, FleetScenario{.nodes = 350},
                         FleetScenario{.nodes = 150, .listsCapacities = true},
-                        FleetScenario{.nodes = 150, .reportsConnections = false, .leastBudgetUse = 0.1}),
+                        FleetScenario{.nodes = 150, .reportsConnections = false, .minimumBudgetUse = 0.1}),
         testing::Range<std::uint64_t>(1, 7)),
     scenarioName);
 
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -67,7 +67,7 @@
 
 // What 100 nodes send within 2 s to a new endpoint that takes about 7 in a window, beside 19 others at 0.5.
 // Each node has 10 connections: 1,000 on 20 endpoints at 0.5, so 100 fill one.
-int sentToNewEndpoint(int requestsANode, Micros gap, std::uint64_t seed, double others = 0.5) {
+int attemptsToNewEndpoint(int requestsPerNode, Micros gap, std::uint64_t seed, double others = 0.5) {
     int sent = 0;
     for (std::uint32_t node = 0; node < 100; ++node) {
         std::vector<EndpointEntry> entries;
@@ -91,7 +91,7 @@
         d.setReportedLoad(99, 0.0);
         d.updateEndpointList({newEndpoint}, EndpointListKind::Delta);
         d.advance(1s);
-        for (int i = 0; i < requestsANode; ++i) {
+        for (int i = 0; i < requestsPerNode; ++i) {
             d.submitRequest();
             d.advance(gap);
         }
@@ -106,7 +106,7 @@
     // times 0.38 of 11 a second for 1.5 s: 25. By weight alone, a burst of 2,000 requests would bring 50.
     int sent = 0;
     for (std::uint64_t run = 0; run < 4; ++run) {
-        sent += sentToNewEndpoint(20, 10ms, 1000 * (run + 1));
+        sent += attemptsToNewEndpoint(20, 10ms, 1000 * (run + 1));
     }
     EXPECT_LE(sent / 4, 25);
     EXPECT_GE(sent / 4, 3) << "it is used even so";
@@ -114,20 +114,20 @@
 
 TEST(SlowStart, HundredNodesWithLittleTrafficUseNewEndpoint) {
     // One request a second at each node for 4 s: of these 400, about 8 would come by weight.
-    EXPECT_GE(sentToNewEndpoint(4, 1s, 5000), 3);
+    EXPECT_GE(attemptsToNewEndpoint(4, 1s, 5000), 3);
 }
 
 TEST(SlowStart, HundredNodesStayWithinBudgetWithoutOtherCapacity) {
     int sent = 0;
     for (std::uint64_t run = 0; run < 4; ++run) {
-        sent += sentToNewEndpoint(12, 100ms, 1000 * (run + 1), 0.9);
+        sent += attemptsToNewEndpoint(12, 100ms, 1000 * (run + 1), 0.9);
     }
     EXPECT_LE(sent / 4, 25);
 }
 
 // The load that a hundred nodes without connections send within 2 s to an endpoint that started 2 s ago, in
 // microseconds of work a second, beside eleven others at 0.7. Each node has one request in that time.
-double sentByNodesWithoutConnections(double capacityUnits, std::uint64_t seed) {
+double loadFromNodesWithoutConnections(double capacityUnits, std::uint64_t seed) {
     double sent = 0.0;
     for (std::uint32_t node = 0; node < 100; ++node) {
         Settings settings = nodeOfHundred(node, seed);
@@ -157,8 +157,8 @@
     double small = 0.0;
     double large = 0.0;
     for (std::uint64_t run = 1; run <= 20; ++run) {
-        small += sentByNodesWithoutConnections(4.5, 1000 * run) / 20;
-        large += sentByNodesWithoutConnections(18.0, 1000 * run) / 20;
+        small += loadFromNodesWithoutConnections(4.5, 1000 * run) / 20;
+        large += loadFromNodesWithoutConnections(18.0, 1000 * run) / 20;
     }
     EXPECT_LE(small, 270'000);
     EXPECT_GE(small, 270'000 / 3);
@@ -282,16 +282,17 @@
         list({started, warm}, WeightKind::Nominal);
     }
 
-    SlowStartTurns turns(Time now) {
+    SlowStartSlots slots(Time now) {
         const DecisionContext at = context(now);
-        return SlowStart{at, capacity, loads, kinds}.turns(endpoint(1));
+        return SlowStart{at, capacity, loads, kinds}.slots(endpoint(1));
     }
     bool admits(const Request& request, Time now) {
         const DecisionContext at = context(now);
         return SlowStart{at, capacity, loads, kinds}.admits(request, endpoint(1));
     }
     // The weights of both endpoints afterwards.
-    std::pair<double, double> weighByTurns(double newWeight, double warmWeight, Time now = kNow + 4s) {
+    std::pair<double, double> adjustWeightsToSlots(double newWeight, double warmWeight,
+                                                   Time now = kNow + 4s) {
         const DecisionContext at = context(now);
         CandidateSet set;
         set.candidates = {{&endpoint(1), 0, 1.0}, {&endpoint(2), 0, 1.0}};
@@ -300,7 +301,7 @@
         set.totalWeight = newWeight + warmWeight;
         ArrivalRate arrivals;
         arrivals.start(now);
-        SlowStart{at, capacity, loads, kinds}.weighByTurns(set, arrivals);
+        SlowStart{at, capacity, loads, kinds}.adjustWeightsToSlots(set, arrivals);
         return {set.candidates[0].weight, set.candidates[1].weight};
     }
 };
@@ -313,54 +314,54 @@
 }
 
 // The turns that all nodes have together.
-double turnsOfAllNodes(std::uint32_t nodes, Time now) {
+double slotsOfAllNodes(std::uint32_t nodes, Time now) {
     double sum = 0.0;
     for (std::uint32_t node = 0; node < nodes; ++node)
-        sum += SlowStartFixture{nodes, node}.turns(now).own;
+        sum += SlowStartFixture{nodes, node}.slots(now).own;
     return sum;
 }
 
-TEST(SlowStartTurns, BelongToOneNodeEach) {
+TEST(SlowStartSlots, BelongToOneNodeEach) {
     for (const std::uint32_t nodes : {1U, 2U, 3U, 17U, 100U}) {
         for (const Micros elapsed : {Micros{2s}, Micros{5s}, Micros{8900ms}}) {
-            const double open = SlowStartFixture{nodes}.turns(kNow + elapsed).open;
-            EXPECT_NEAR(turnsOfAllNodes(nodes, kNow + elapsed), open, 1.0) << nodes << " nodes";
+            const double open = SlowStartFixture{nodes}.slots(kNow + elapsed).open;
+            EXPECT_NEAR(slotsOfAllNodes(nodes, kNow + elapsed), open, 1.0) << nodes << " nodes";
         }
     }
 }
 
-TEST(SlowStartTurns, NoneIsDueAtTheStart) {
-    EXPECT_EQ(turnsOfAllNodes(100, kNow), 0.0);
+TEST(SlowStartSlots, NoneIsDueAtTheStart) {
+    EXPECT_EQ(slotsOfAllNodes(100, kNow), 0.0);
 }
 
-TEST(SlowStartTurns, FromBeforeTheNodesStartAreUsedUp) {
+TEST(SlowStartSlots, AreConsumedUpToTheRecordedTime) {
     SlowStartFixture f{1};
-    EXPECT_GT(f.turns(kNow + 5s).own, 0.0);
+    EXPECT_GT(f.slots(kNow + 5s).own, 0.0);
     f.endpoint(1).slowStartTurnsFrom = kNow + 5s;
-    EXPECT_EQ(f.turns(kNow + 5s).own, 0.0);
+    EXPECT_EQ(f.slots(kNow + 5s).own, 0.0);
 }
 
-TEST(SlowStartTurns, RateFollowsWarmUpCapacityAndMultiple) {
+TEST(SlowStartSlots, RateFollowsWarmUpCapacityAndMultiple) {
     SlowStartFixture f;
     // 40 cores at 40,000 a connection, half of it by caution: 500 connections, times 0.8 * 4 over 9 s.
     const double whenWarm = 0.8 * 4.0 * 500 / 9;
-    EXPECT_NEAR(f.turns(kNow).perSecond, 0.3 * whenWarm, 1e-6);
-    EXPECT_NEAR(f.turns(kNow + 4500ms).perSecond, 0.65 * whenWarm, 1e-6);
+    EXPECT_NEAR(f.slots(kNow).perSecond, 0.3 * whenWarm, 1e-6);
+    EXPECT_NEAR(f.slots(kNow + 4500ms).perSecond, 0.65 * whenWarm, 1e-6);
 }
 
-TEST(SlowStartTurns, WithoutNodeIndexFollowTheSeed) {
+TEST(SlowStartSlots, WithoutNodeIndexFollowTheSeed) {
     SlowStartFixture first{100, std::nullopt};
     SlowStartFixture same{100, std::nullopt};
     std::set<double> distinct;
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         first.settings.seed = same.settings.seed = seed;
-        EXPECT_EQ(first.turns(kNow + 4s).own, same.turns(kNow + 4s).own);
-        distinct.insert(first.turns(kNow + 4s).own);
+        EXPECT_EQ(first.slots(kNow + 4s).own, same.slots(kNow + 4s).own);
+        distinct.insert(first.slots(kNow + 4s).own);
     }
     EXPECT_GT(distinct.size(), 1U) << "not all nodes at once";
 }
 
-TEST(SlowStartTurns, AdmitRequestsWhileOpen) {
+TEST(SlowStartSlots, AdmitRequestsWhileOpen) {
     SlowStartFixture f{1};
     EXPECT_FALSE(f.admits(requestWithLoad(std::nullopt), kNow)) << "no turn is due";
     EXPECT_TRUE(f.admits(requestWithLoad(std::nullopt), kNow + 5s));
@@ -368,9 +369,9 @@
     EXPECT_FALSE(f.admits(requestWithLoad(std::nullopt), kNow + 5s));
 }
 
-TEST(SlowStartTurns, AdmitHeavyRequestsRarelyAndTooHeavyOnesNever) {
+TEST(SlowStartSlots, AdmitHeavyRequestsRarelyAndTooHeavyOnesNever) {
     SlowStartFixture f{1};
-    const double open = f.turns(kNow + 5s).open;
+    const double open = f.slots(kNow + 5s).open;
     const double typical = f.loads.typical();
     int heavy = 0;
     for (std::uint64_t i = 0; i < 1000; ++i) {
@@ -381,7 +382,7 @@
     EXPECT_LT(heavy, 1000);
 }
 
-TEST(SlowStartTurns, InvalidLoadHintCountsAsOneConnection) {
+TEST(SlowStartSlots, InvalidLoadHintCountsAsOneConnection) {
     for (std::uint32_t node = 0; node < 100; ++node) {
         SlowStartFixture f{100, node};
         for (const double hint : {kNaN, -1e12, 0.0}) {
@@ -391,27 +392,27 @@
     }
 }
 
-TEST(SlowStartWeights, AreKeptByASingleNode) {
+TEST(SlowStartWeights, AreUnchangedForSingleNode) {
     SlowStartFixture f{1};
-    const auto [newWeight, warmWeight] = f.weighByTurns(20.0, 80.0);
+    const auto [newWeight, warmWeight] = f.adjustWeightsToSlots(20.0, 80.0);
     EXPECT_NEAR(newWeight, 20.0, 1e-9);
     EXPECT_EQ(warmWeight, 80.0);
 }
 
-TEST(SlowStartWeights, AreRaisedWhereTurnsAreFew) {
+TEST(SlowStartWeights, AreRaisedWhenSlotsAreFew) {
     SlowStartFixture f{1000};
-    const auto [newWeight, warmWeight] = f.weighByTurns(20.0, 80.0);
+    const auto [newWeight, warmWeight] = f.adjustWeightsToSlots(20.0, 80.0);
     EXPECT_GT(newWeight, 80.0);
     EXPECT_EQ(warmWeight, 80.0);
     EXPECT_TRUE(std::isfinite(newWeight)) << "the probability stays below 1";
 }
 
-TEST(SlowStartWeights, AreKeptWithoutOthersOrWithoutWeight) {
+TEST(SlowStartWeights, AreUnchangedWithoutWarmEndpointsOrWithoutWeight) {
     SlowStartFixture f{1000};
-    EXPECT_EQ(f.weighByTurns(20.0, 0.0).first, 20.0);
-    EXPECT_EQ(f.weighByTurns(20.0, -5.0).first, 20.0);
-    EXPECT_EQ(f.weighByTurns(0.0, 80.0).first, 0.0);
-    EXPECT_EQ(f.weighByTurns(-1.0, 80.0).first, -1.0);
+    EXPECT_EQ(f.adjustWeightsToSlots(20.0, 0.0).first, 20.0);
+    EXPECT_EQ(f.adjustWeightsToSlots(20.0, -5.0).first, 20.0);
+    EXPECT_EQ(f.adjustWeightsToSlots(0.0, 80.0).first, 0.0);
+    EXPECT_EQ(f.adjustWeightsToSlots(-1.0, 80.0).first, -1.0);
 }
 
 }  // namespace
--- a/tests/decision/weighted_selection_test.cpp
+++ b/tests/decision/weighted_selection_test.cpp
@@ -40,7 +40,7 @@
     EXPECT_NEAR(shares(d, kRequests).at(2), 10.0 / 150, kTolerance);
 }
 
-TEST(WeightedSelection, FullEndpointGetsNothing) {
+TEST(WeightedSelection, FullEndpointGetsNoRequests) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), {0.50, 1.40});
     EXPECT_EQ(shares(d, 500).count(2), 0U);
 }
@@ -91,7 +91,7 @@
 }
 
 // An endpoint at 0.6 cannot take a connection that needs half an endpoint; one at 0.2 can.
-TEST(WeightedSelection, HeavyConnectionGoesWhereItFits) {
+TEST(WeightedSelection, HeavyConnectionSelectsEndpointWithEnoughCapacity) {
     int fits = 0;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         Settings settings = defaultSettings();
@@ -188,7 +188,7 @@
     }
 }
 
-TEST(WeightedSelection, FullEndpointsGetOnlyWhatMayNotBeRejected) {
+TEST(WeightedSelection, FullEndpointsGetOnlyRequestsThatMayNotBeRejected) {
     SelectionFixture f;
     for (const std::uint64_t id : {1U, 2U, 3U})
         f.report(id, 1.5);
@@ -213,7 +213,7 @@
     }
 }
 
-TEST(WeightedSelection, PollsALeadingEndpointOfUnknownLoad) {
+TEST(WeightedSelection, PollsBestEndpointOfUnknownLoad) {
     SelectionFixture f;
     f.list({endpointEntry(1)});
     EXPECT_FALSE(f.select(randomRequest(1))->pollFirst);
