--- a/src/decision/admission_control.cpp
+++ b/src/decision/admission_control.cpp
@@ -9,8 +9,8 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kBusyMargin = 0.1;       // load over capacity, under the saturation threshold
-constexpr double kQuotaDeviations = 2.0;  // standard deviations: one count in forty is higher by chance
+constexpr double kBusyMargin = 0.1;       // load over capacity, below the saturation threshold
+constexpr double kQuotaDeviations = 2.0;  // standard deviations: one count in forty exceeds them by chance
 
 }  // namespace
 
--- a/src/decision/admission_control.hpp
+++ b/src/decision/admission_control.hpp
@@ -1,4 +1,4 @@
-// Decides which requests are admitted to a busy fleet, by the quotas of their tenants.
+// Decides whether a busy fleet admits a request, by the quota of its tenant.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +12,22 @@
 
 namespace ivyreel {
 
-// Whether the fleet as a whole is near its saturation threshold.
+// Whether the mean utilisation of the fleet is near or above the saturation threshold.
 bool isFleetBusy(const FleetSnapshot& fleet, const SaturationThreshold& threshold);
 
 class AdmissionControl {
   public:
-    // There are this many tenants; there may be more than before.
+    // Sets the number of tenants. Existing counts are kept, and a lower number than before has no effect.
     void setTenantCount(std::size_t tenants);
     void changeConnections(TenantIndex tenant, int change);
 
-    // Departure, load shedding by quota: on a busy fleet the tenants that are over their quota yield.
-    // Prevents that they make the others' messages late for little priority weight. Acts only where their
-    // count can hardly be chance.
+    // Departure, load shedding by quota: on a busy fleet the requests of tenants that are over their quota
+    // are shed. This prevents requests of low priority weight from delaying the messages of other tenants. A
+    // request is shed only if the tenant's count at this node exceeds its quota by more than chance explains.
     bool shouldShed(const Request& request, const Settings& settings, bool fleetBusy) const;
 
   private:
-    std::vector<int> connections_;  // of this node, by tenant
+    std::vector<int> connections_;  // connections at this node, by tenant
 };
 
 }  // namespace ivyreel
--- a/src/decision/affinity_groups.cpp
+++ b/src/decision/affinity_groups.cpp
@@ -6,10 +6,10 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kMinEndpoints = 2.0;     // one may be lost
-constexpr double kEndpointsMargin = 3.0;  // times what a group fills alone: it shares them with others
-constexpr double kPriorPairs = 40.0;      // pairs of arrivals, one of them of one group
-constexpr std::size_t kMaxGroups = 4096;  // then counted anew: groups end, and memory has a bound
+constexpr double kMinEndpoints = 2.0;     // one endpoint may be lost
+constexpr double kEndpointsMargin = 3.0;  // times what a group fills alone: others share the endpoints
+constexpr double kPriorPairs = 40.0;      // assumed pairs of arrivals, one of them of the same group
+constexpr std::size_t kMaxGroups = 4096;  // then all counts restart: groups end, and memory is bounded
 
 }  // namespace
 
--- a/src/decision/affinity_groups.hpp
+++ b/src/decision/affinity_groups.hpp
@@ -1,5 +1,5 @@
-// Affinity groups: requests whose work is less where they are at the same endpoint. Counts this node's
-// connections of each group by endpoint, and how arrivals spread over groups.
+// Affinity groups: the requests of a group need less work if the same endpoint serves them. Counts this
+// node's connections of each group by endpoint, and how the arrivals are distributed over the groups.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,8 @@
     void recordArrival(GroupId group);
     void changeConnections(GroupId group, EndpointId endpoint, int change);
 
-    // Looks up a group's connections at endpoints which must come in the order of their ids.
+    // Looks up the number of a group's connections at successive endpoints. Calls must pass the endpoints in
+    // the order of their ids.
     class MemberCursor {
       public:
         int countAt(EndpointId endpoint);
@@ -33,13 +34,14 @@
     };
     MemberCursor membersOf(GroupId group) const { return {members_, group}; }
 
-    // On how many endpoints a group is to meet: what it fills by its part of the arrivals, with a margin.
+    // The number of endpoints that a group is to use: as many as it fills by its share of the arrivals, times
+    // a margin, but no fewer than a minimum. The result may exceed `endpointCount`.
     std::ptrdiff_t endpointsPerGroup(std::size_t endpointCount) const;
 
   private:
     MemberMap members_;
     std::map<GroupId, int> arrivalsByGroup_;
-    double sameGroupPairs_ = 0.0;  // ordered pairs of arrivals
+    double sameGroupPairs_ = 0.0;  // ordered pairs of arrivals of the same group
     double arrivals_ = 0.0;
 };
 
--- a/src/decision/decision_context.hpp
+++ b/src/decision/decision_context.hpp
@@ -1,4 +1,4 @@
-// What all decisions on one event start from: read-only references, valid while the event is handled.
+// The common input of all decisions on one event: read-only references, valid while the event is handled.
 #pragma once
 
 #include "decision/endpoint_table.hpp"
--- a/src/decision/decision_engine.hpp
+++ b/src/decision/decision_engine.hpp
@@ -1,8 +1,8 @@
 // The interface of the decision module.
 //
-// One engine decides for one node. It sees only what its own events carry, keeps no clock, shares no state
-// and does no input or output. Any protocol can drive it: translate what happens into events, and carry out
-// the actions.
+// One engine decides for one node. It knows only what its events contain, reads no clock, shares no state and
+// does no input or output. Any protocol can drive the engine: the caller translates what happens into events
+// and carries out the actions.
 #pragma once
 
 #include <cstddef>
@@ -26,17 +26,18 @@
     DecisionEngine& operator=(DecisionEngine&&) = delete;
     virtual ~DecisionEngine() = default;
 
-    // Takes one event at the time `now` and appends the actions that answer it. Started comes first, once.
+    // Handles one event at the time `now` and appends the resulting actions to `actions`. The first event is
+    // Started, which occurs once.
     virtual void handle(Time now, const Event& event, std::vector<Action>& actions) = 0;
 
-    // Whether the attempt that it wanted last for this request may still begin. The connection for it takes
-    // time to come up, and what the decision was based on may have changed meanwhile.
+    // Whether the latest attempt of the request may still send the request. The connection for the attempt
+    // takes time to be established, and the facts behind the decision may have changed meanwhile.
     virtual bool isStillValid(Time /*now*/, RequestId /*request*/) const { return true; }
 
-    // How many listed endpoints get no new connections, because they are banned or unhealthy.
+    // The number of listed endpoints that get no new connections because they are banned or unhealthy.
     virtual std::size_t avoidedEndpointCount() const { return 0; }
 
-    // What has been learned, for the engine of a successor.
+    // The learned state, for the engine of a successor.
     virtual LearnedState learnedState(Time /*now*/) const { return {}; }
 };
 
--- a/src/decision/decision_state.hpp
+++ b/src/decision/decision_state.hpp
@@ -1,5 +1,4 @@
-// All state that one engine owns. Each member is documented by its own header; this struct only holds them
-// together.
+// All state of one decision engine. The header of each member's type documents it.
 #pragma once
 
 #include <utility>
@@ -24,7 +23,7 @@
 
 namespace ivyreel {
 
-// The time of the event that is handled, and the actions that answer it.
+// The time of the event that is being handled, and the list to which its actions are appended.
 struct Step {
     Time now;
     std::vector<Action>& actions;
@@ -39,7 +38,7 @@
     Settings settings;
     SplitMix64 random;
     Time startedAt{0};
-    Time newNodeUntil{0};  // until then the node counts as new, and other nodes' clients come to it
+    Time newNodeUntil{0};  // until then, reconnecting clients count as clients of other nodes
     bool requestTimerSet = false;
 
     EndpointTable endpoints;
--- a/src/decision/effective_capacity.hpp
+++ b/src/decision/effective_capacity.hpp
@@ -1,5 +1,5 @@
-// The capacity that an endpoint has at present, as a factor of that of a typical one of its size: lower while
-// it warms up, and where it is slow.
+// The present capacity of an endpoint, as a factor of the capacity of a typical endpoint of its size. It is
+// lower while the endpoint is warming up, and if the endpoint is slow.
 #pragma once
 
 #include "decision/endpoint.hpp"
--- a/src/decision/endpoint_selection_engine.cpp
+++ b/src/decision/endpoint_selection_engine.cpp
@@ -19,10 +19,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kNewNodePeriod = 5s;  // longer than another node takes to stop
+constexpr Micros kNewNodePeriod = 5s;  // longer than a node takes to stop
 
 const RequestClassSettings& classSettings(const Settings& settings, RequestClassIndex requestClass) {
-    static const RequestClassSettings kUnlisted;  // the strictest reading: not idempotent
+    static const RequestClassSettings kUnlisted;  // strictest settings: not idempotent
     const auto index = static_cast<std::size_t>(requestClass);
     return index < settings.classes.size() ? settings.classes[index] : kUnlisted;
 }
@@ -50,7 +50,7 @@
     step.actions.emplace_back(SetTimer{firstDelay, kEndpointTimer});
 }
 
-// What was learned stays, and each request keeps the settings of its class that it came with.
+// The learned state is kept, and each request keeps the class settings of its arrival.
 void EndpointSelectionEngine::on(const SettingsChanged& event, Step step) {
     state_.saturationThreshold.changeSettings(state_.settings, event.settings);
     state_.settings = event.settings;
@@ -76,9 +76,9 @@
     return result;
 }
 
-// Departure, inherited state: after an upgrade the node continues with what its predecessor had learned; what
-// is known of an earlier process of an endpoint does not count. Prevents that a node knows nothing each time
-// it is upgraded.
+// Departure, inherited state: after an upgrade the node continues with the learned state of its predecessor,
+// except for endpoints that have restarted since. This prevents a node from losing all learned state at each
+// upgrade.
 void EndpointSelectionEngine::on(const LearnedStateInherited& event, Step step) {
     const LearnedFleetState& learned = event.learnedState.fleet;
     state_.arrivals.restore(learned, step.now);
@@ -110,7 +110,7 @@
 
 void EndpointSelectionEngine::runEndpointTimer(Step step) {
     step.actions.emplace_back(SetTimer{endpointTimerInterval(state_.settings), kEndpointTimer});
-    // Without reports, what was sent long ago counts no longer either.
+    // A report removes the sends that it includes; without reports, sends expire here.
     state_.endpoints.removeSendsBefore(step.now - kReportLifetime);
     if (state_.settings.discoveryMode == DiscoveryMode::Poll && state_.listPolling.isDue(step.now))
         pollEndpointList(step);
@@ -153,7 +153,7 @@
     retryWaitingRequests(state_, hasSpareCapacity ? RetryScope::All : RetryScope::PollResolved, step);
 }
 
-// ---- a request's life ----
+// ---- lifecycle of a request ----
 
 void EndpointSelectionEngine::on(const RequestArrived& event, Step step) {
     Request& request = state_.requests.findOrAdd(event.request);
@@ -176,7 +176,7 @@
     if (hasAffinity(request, state_.settings)) state_.groups.recordArrival(arrival.group);
 }
 
-// An endpoint that has restarted is another one: it is warming up, and none that the selection knew.
+// An endpoint that has restarted since the selection is not the selected one: its new process is warming up.
 bool EndpointSelectionEngine::isStillValid(Time now, RequestId request) const {
     const Request* found = state_.requests.find(request);
     if (found == nullptr || !found->attemptOutstanding) return false;
@@ -228,7 +228,7 @@
 void EndpointSelectionEngine::on(const AttemptEnded& event, Step step) {
     Endpoint* endpoint = state_.endpoints.find(event.endpoint);
     if (endpoint != nullptr && event.report) takeLoadReport(state_, *endpoint, *event.report, step);
-    Request* request = state_.requests.find(event.request);  // a report may have ended it by a migration
+    Request* request = state_.requests.find(event.request);  // null if the report caused its migration
     if (request == nullptr) return;
     if (endpoint != nullptr && event.outcome == Outcome::Ok) recordSuccess(*endpoint);
     if (endpoint != nullptr && isEndpointFailure(event.outcome)) {
--- a/src/decision/endpoint_selection_engine.hpp
+++ b/src/decision/endpoint_selection_engine.hpp
@@ -1,10 +1,11 @@
-// The decisions of one node: takes each event to the modules that own the state, and turns their answers into
-// actions.
+// The decision engine of one node: passes each event to the modules that own the state, and emits their
+// decisions as actions.
 //
-// The ordinary path is the draft's (9.1, 9.2): a new connection goes to a ready endpoint selected at random
-// in proportion to 100 minus its utilisation, which health checks report and which counts for 5 s. Every
-// departure from it has a comment that begins with "Departure" and names the failure it prevents;
-// docs/design.md says when each one acts.
+// The weighted draw is the normal path (9.1 and 9.2 of the draft): a new connection goes to a ready endpoint,
+// selected at random in proportion to 100 minus its utilisation in per cent. Health checks report the
+// utilisation, and a report counts for 5 s. Each deviation from the weighted draw has a comment that begins
+// with "Departure" and names the failure that the deviation prevents. docs/design.md states when each of them
+// applies.
 #pragma once
 
 #include <cstddef>
@@ -37,13 +38,13 @@
     void runRequestTimer(Step step);
     void runEndpointTimer(Step step);
 
-    // Endpoints: list, bans, health checks.
+    // Endpoint list, bans, health checks.
     void on(const EndpointListChanged& event, Step step);
     void on(const EndpointBanChanged& event, Step step);
     void on(const HealthCheckCompleted& event, Step step);
     void pollEndpointList(Step step);
 
-    // A request's life.
+    // Lifecycle of a request.
     void on(const RequestArrived& event, Step step);
     void on(const ConnectionResumed& event, Step step);
     void on(const ConnectionEstablished& event, Step step);
--- a/src/decision/locality_preference.cpp
+++ b/src/decision/locality_preference.cpp
@@ -7,11 +7,12 @@
 namespace ivyreel {
 namespace {
 
-// Load over capacity: up to here the own zone is preferred in full,
+// Load over capacity of the own zone up to which the preference is full.
 constexpr double kFullPreferenceBelow = 0.65;
-// or so far under the saturation threshold where that is low,
+// Minimum range below the saturation threshold in which the preference fades, in load over capacity. It
+// applies where the threshold is low.
 constexpr double kMinFadingRange = 0.05;
-// and nearer to it where the cost of crossing zones is above this.
+// Cross-zone cost above which the range is narrower, in inverse proportion to the cost.
 constexpr double kHighCrossZoneCost = 0.03;
 constexpr double kHalvingCrossZoneCost = 0.005;  // cost that halves the weight of other zones' endpoints
 
--- a/src/decision/locality_preference.hpp
+++ b/src/decision/locality_preference.hpp
@@ -1,4 +1,4 @@
-// Preference for endpoints of this node's own zone.
+// Preference for endpoints in this node's own zone.
 #pragma once
 
 #include "decision/decision_context.hpp"
@@ -6,9 +6,10 @@
 
 namespace ivyreel {
 
-// Departure, own zone first: while the own zone has spare capacity, endpoints of other zones get a lower
-// weight. Prevents that a fault between zones breaks most connections, and needless delay. Returns the factor
-// of their weight, 0 to 1; 1 where the own zone has no usable endpoint.
+// Departure, own zone first: while this node's zone has spare capacity, endpoints of other zones get a lower
+// weight. This prevents a fault between zones from breaking most connections, and avoids unnecessary delay.
+// Returns the factor of the weight of endpoints in other zones, 0 to 1. It is 1 if this node's zone has no
+// usable endpoint.
 double crossZoneWeight(const DecisionContext& context, const UtilisationEstimate& utilisation);
 
 }  // namespace ivyreel
--- a/src/decision/request.hpp
+++ b/src/decision/request.hpp
@@ -10,34 +10,34 @@
 
 namespace ivyreel {
 
-// Invariants: at most one of attemptOutstanding and connected holds; target and sentAt are those of the last
-// attempt, and mean nothing before the first.
+// Invariants: at most one of attemptOutstanding and connected is true; target and sentAt belong to the latest
+// attempt and are undefined before the first.
 struct Request {
     RequestArrived arrival;
-    RequestClassSettings requestClass;  // as at its arrival
-    int maxAttempts = 0;                // likewise
+    RequestClassSettings requestClass;  // as of the arrival
+    int maxAttempts = 0;                // as of the arrival
     Time arrivedAt{0};
     Time deadline{0};
-    double load = 0.0;  // microseconds of work a second: expected, then measured
+    double load = 0.0;  // microseconds of work a second: expected, later measured
     std::uint64_t randomNumber = 0;
     // Attempts.
     int attempts = 0;
     std::vector<EndpointId> triedEndpoints;
     bool attemptOutstanding = false;
     bool connected = false;
-    EndpointEntry target{};  // as it was listed when the request was sent there
+    EndpointEntry target{};  // list entry of the endpoint when the attempt started
     Time sentAt{0};
     // Idempotency.
-    bool mayHaveExecuted = false;    // an attempt that has ended may have executed it
-    Time firstExecutionSentAt{0};    // the first such attempt
-    EndpointEntry firstExecution{};  // its endpoint
-    // Health checks that were started for this request to learn an endpoint's load.
+    bool mayHaveExecuted = false;    // an attempt that has ended may have executed the request
+    Time firstExecutionSentAt{0};    // start of the first such attempt
+    EndpointEntry firstExecution{};  // list entry of its endpoint
+    // Health checks that poll the load of an endpoint for this request.
     std::vector<EndpointId> polledEndpoints;
-    Time polledAt{0};  // the last of them
+    Time polledAt{0};  // time of the latest poll
     bool waitsForReport = false;
 };
 
-// Whether it belongs to an affinity group that counts.
+// Whether the request belongs to an affinity group and the settings enable group affinity.
 inline bool hasAffinity(const Request& request, const Settings& settings) {
     return settings.groupAffinity && request.arrival.group != GroupId{0};
 }
--- a/src/decision/request_placement.cpp
+++ b/src/decision/request_placement.cpp
@@ -15,8 +15,8 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kMaxWaitShare = 0.8;    // of the latency objective: how long a request waits for capacity
-constexpr double kMinRetryAfter = 0.25;  // of the longest Retry-After; jitter spreads it up to 0.75
+constexpr double kMaxWaitShare = 0.8;    // of the latency objective: longest wait for capacity
+constexpr double kMinRetryAfter = 0.25;  // of the maximum Retry-After; jitter raises it to up to 0.75
 
 std::optional<Selection> select(DecisionState& state, const Request& request, Time now) {
     const DecisionContext context = state.contextAt(now);
@@ -32,8 +32,8 @@
     recordPoll(request, endpoint, step.now);
 }
 
-// A request waits while an endpoint may come back or get spare capacity, and is rejected before its latency
-// objective has passed.
+// Keeps the request waiting while an endpoint may become usable again or get spare capacity. Rejects it, if
+// it may be rejected, before its latency objective has passed.
 void waitOrFinish(DecisionState& state, RequestId id, Request& request, Step step) {
     const Micros maxWait = scaled(request.requestClass.latencyObjective, kMaxWaitShare);
     const bool maxWaitReached = step.now >= request.arrivedAt + maxWait;
@@ -46,13 +46,14 @@
     request.sentAt = step.now;
     request.attemptOutstanding = true;
     ++request.attempts;
-    // Departure, a new node: what comes again to a node that started with nothing was at another one before:
-    // no more load. Prevents that a node which takes over from one that stops sees all endpoints full.
+    // Departure, a new node: a client that reconnects to a node which started without inherited connections
+    // had its connection at another node before, so its load is not new to the fleet. This prevents a node
+    // that takes over the clients of a stopping node from estimating all endpoints as full.
     const bool fromAnotherNode = request.arrival.reconnecting && step.now < state.newNodeUntil;
     const RecentSend send{id, step.now, request.load, fromAnotherNode};
     endpoint.recentSends.push_back(send);
     state.fleet.recordSend(send);
-    endpoint.slowStartTurnsFrom = step.now;  // a turn that was open is over
+    endpoint.slowStartTurnsFrom = step.now;  // slots that were due before are used up
     countConnectionIn(state, request);
     const Micros timeout =
         attemptTimeout(request, state.settings.limits, state.setupTimes.meanMicros(), step.now);
--- a/src/decision/request_placement.hpp
+++ b/src/decision/request_placement.hpp
@@ -1,5 +1,5 @@
-// Brings requests to endpoints: starts attempts, lets requests wait for a report or for spare capacity, and
-// gives their final answers.
+// Places requests at endpoints: starts attempts, keeps requests waiting for a load report or for spare
+// capacity, and gives their final answers.
 #pragma once
 
 #include "decision/decision_state.hpp"
@@ -8,19 +8,21 @@
 
 namespace ivyreel {
 
-// Which of the requests that wait to try anew.
+// Which of the waiting requests are placed again.
 enum class RetryScope {
-    All,           // an endpoint may have come back, or have spare capacity
-    PollResolved,  // only those that wait for a report which has come, or cannot come any more
+    All,           // an endpoint may be usable again, or have spare capacity
+    PollResolved,  // only those whose awaited load report has arrived, or can no longer arrive
 };
 
-// Starts an attempt, lets the request wait, or gives its final answer. The request may be gone afterwards.
+// Starts an attempt, keeps the request waiting, or gives its final answer. The final answer erases the
+// request, which invalidates the reference.
 void placeRequest(DecisionState& state, RequestId id, Request& request, Step step);
-// Places those that have no attempt outstanding anew.
+// Places the requests of the scope that have no attempt outstanding again.
 void retryWaitingRequests(DecisionState& state, RetryScope scope, Step step);
-// Gives the final answer to requests whose last moment has come.
+// Gives the final answer to unconnected requests whose final-answer deadline has passed.
 void finishExpiredRequests(DecisionState& state, Step step);
-// The one place where a request gets its final answer from the node: rejected, or else failed.
+// Gives the final answer of this node and erases the request: a rejection if the request may be rejected, a
+// failure otherwise. Cancels an outstanding attempt. No other function gives final answers.
 void finishRequest(DecisionState& state, RequestId id, const Request& request, Step step);
 // Sets the request timer if it is needed and not set.
 void setRequestTimer(DecisionState& state, Step step);
--- a/src/decision/request_table.hpp
+++ b/src/decision/request_table.hpp
@@ -1,4 +1,4 @@
-// All requests without a final answer, by id, and which of them have no connection yet.
+// All requests that this node still serves, by id, and which of them have no connection.
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
     void markConnected(RequestId id) { unconnected_.erase(id); }
     void markUnconnected(RequestId id) { unconnected_.insert(id); }
     bool hasUnconnected() const { return !unconnected_.empty(); }
-    // A copy, in the order of the ids: requests may be erased while it is gone through.
+    // Returns a copy, in the order of the ids, so that the caller may erase requests while iterating.
     std::vector<RequestId> unconnected() const { return {unconnected_.begin(), unconnected_.end()}; }
 
     auto begin() const { return requests_.begin(); }
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -7,13 +7,14 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kSetupTimesPerAttempt = 3.0;  // times the mean, that an attempt gets at the least
+constexpr double kSetupTimesPerAttempt = 3.0;  // minimum timeout of an attempt, in mean setup times
 
 bool isUnrestricted(const Request& request) {
     return !request.mayHaveExecuted || request.requestClass.idempotency == Idempotency::Idempotent;
 }
 
-// The scope is that of the first endpoint as it was listed then: it may have left the list since.
+// Compares with the list entry that the first endpoint had when the request was sent there, because the
+// endpoint may have left the list since.
 bool isInDeduplicationScope(const Request& request, const Endpoint& endpoint) {
     switch (request.requestClass.deduplicationScope) {
         case DeduplicationScope::All:
--- a/src/decision/saturation_threshold.hpp
+++ b/src/decision/saturation_threshold.hpp
@@ -1,4 +1,4 @@
-// The load over capacity from which on an endpoint's messages begin to be late, learned from its messages.
+// The load over capacity at which the messages of an endpoint begin to be late, learned from message delays.
 #pragma once
 
 #include "decision/endpoint.hpp"
@@ -13,16 +13,19 @@
     explicit SaturationThreshold(const Settings& settings);
 
     double value() const { return value_; }
-    // Up to here an endpoint takes further members of an affinity group; above it, connections are migrated.
+    // The limit up to which an endpoint accepts further members of an affinity group. Above it, connections
+    // are migrated.
     double withTolerance() const { return value_ + kTolerance; }
 
     // Departure, the learned threshold: the load over capacity at which messages begin to be late differs
-    // between fleets (bursts, objectives). Each report near it is a trial: late messages lower the threshold,
-    // punctual ones raise it a little. Prevents that endpoints are filled until they serve nobody in time, or
-    // left idle for fear of it. The endpoint's load is that of a report which has just arrived.
+    // between fleets (bursts, objectives). Each report of a load near the threshold adjusts the threshold:
+    // late messages lower it, and a report without late messages raises it by a smaller step. This prevents
+    // endpoints from being filled until they serve no client in time, and from being left idle to avoid that.
+    // Precondition: endpoint.load is the load of a report that has just arrived.
     void learn(const Endpoint& endpoint, Time now);
 
-    // How far the threshold was learned away from its initial value holds for the new settings' one too.
+    // Moves the threshold by the difference between the initial values of both settings, so that the learned
+    // distance from the initial value is kept.
     void changeSettings(const Settings& before, const Settings& after);
 
     void store(LearnedFleetState& learned) const { learned.saturationThreshold = value_; }
@@ -36,8 +39,8 @@
     double value_;
 };
 
-// What an endpoint with this utilisation takes of new connections, in per cent; 0 from the saturation
-// threshold on.
+// The unused utilisation of an endpoint, in per cent, or 0 if its utilisation is at or above the saturation
+// threshold.
 inline double spareUtilisation(double utilisation, const SaturationThreshold& threshold) {
     return utilisation >= kFullUtilisation * threshold.value() ? 0.0 : kFullUtilisation - utilisation;
 }
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -12,13 +12,14 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kBudgetShare = 0.8;  // of the stated budget: endpoints of one kind differ in size
-constexpr double kCapacityEstimateShare =
-    0.5;                                     // of what loads and listed sizes suggest: speeds differ twofold
-constexpr double kMaxProbability = 0.99;     // of selection: the next one or two requests of a turn
+constexpr double kBudgetShare = 0.8;  // used part of the stated budget: endpoints of one kind differ in size
+// Used part of the capacity that loads and listed sizes suggest, because speeds differ twofold.
+constexpr double kCapacityEstimateShare = 0.5;
+constexpr double kMaxProbability = 0.99;  // of selection: one of the next two requests still takes the slot
 constexpr double kOpenSlotDeviations = 2.0;  // standard deviations of a count of independent senders
 
-// Turns go round in steps of about the golden section: neighbours may be of one zone.
+// The distance between the slot positions of nodes with adjacent indices, about a golden section of the
+// round: such nodes may be in the same zone, which would otherwise get its slots all at once.
 std::uint32_t nodeStride(std::uint32_t nodes) {
     std::uint32_t stride = std::max(1U, nodes * 5 / 8);
     while (std::gcd(stride, nodes) != 1)
@@ -26,7 +27,7 @@
     return stride;
 }
 
-// This node's place in the order of turns at the endpoint, 1 to the number of nodes.
+// The position of this node in the round-robin order of slots at the endpoint, 1 to the number of nodes.
 double slotPosition(const Endpoint& endpoint, const Settings& settings, std::uint32_t stride) {
     const std::uint64_t offset = mix(static_cast<std::uint64_t>(endpoint.entry.id)) >> 32U;
     const std::uint64_t index = settings.nodeIndex.value_or(static_cast<std::uint32_t>(mix(settings.seed)));
@@ -55,15 +56,16 @@
     return kinds_.connectionsAtCapacity(endpoint.entry.kind, size, estimatedConnections);
 }
 
-// Departure, slow start: the connections that a warming-up endpoint may have are dealt out to the nodes in
-// turn, by its start and the settings, alike at each. Prevents that the sends of all nodes meet there,
-// whatever each makes of its own share, and on whatever path a request comes to be sent. As many turns are
-// open at once as a count may differ by chance where senders are independent, two standard deviations, and
-// one: so no window has more than its budget and that, whoever sends.
+// Departure, slow start: the connections that an endpoint may get while it is warming up are allocated to the
+// nodes as slots, round-robin. Every node computes the same allocation from the endpoint's start and the
+// settings. This prevents the attempts of all nodes from coinciding at the endpoint, whatever share each node
+// computes for itself and whatever causes an attempt. The number of slots that are open at the same time is
+// two standard deviations of a count of independent senders, plus one. No overload window therefore has more
+// attempts than its budget plus that number, whichever nodes send them.
 SlowStartSlots SlowStart::slots(const Endpoint& endpoint) const {
     const Settings& settings = context_.settings;
     const OperatingLimits& limits = settings.operatingLimits;
-    // Over the whole slow start, if it were warm all the time.
+    // Connections over the whole slow start, if the endpoint had its full capacity throughout.
     const double total = kBudgetShare * limits.overloadMultiple * connectionsAtCapacity(endpoint);
     const auto dueUntil = [&](double progress) {
         return total * progress *
@@ -91,7 +93,8 @@
     return slotsNeeded <= available.open + 1.0 && slotsNeeded * uniformSample < available.own;
 }
 
-// While a turn is open here, with as many arrivals as that takes.
+// The probability with which a request that arrives while this node has an open slot selects the candidate.
+// It depends on how many requests arrive before the slot closes.
 double SlowStart::selectionProbability(const Candidate& candidate, double totalWeight,
                                        const ArrivalRate& arrivals) const {
     const SlowStartSlots available = slots(*candidate.endpoint);
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -1,7 +1,9 @@
-// Slow start: how many new connections an endpoint that warms up may get, and which node may send them.
+// Slow start: limits how many new connections an endpoint gets while it is warming up, and decides which node
+// may send them.
 //
-// The account is in connections of the typical load. All nodes come to the same order of turns without a word
-// to each other, from the endpoint's id and start and the settings.
+// The connections are allocated to the nodes as slots, round-robin. A slot stands for one connection of the
+// typical load. All nodes compute the same allocation from the endpoint's id and start time and the settings,
+// without communicating with each other.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +20,12 @@
 namespace ivyreel {
 
 struct SlowStartSlots {
-    double perSecond = 0.0;  // connections that the endpoint may get from all nodes now
-    double open = 0.0;       // turns that are open at once at all nodes
-    double own = 0.0;        // and at this one
+    double perSecond = 0.0;  // slots that become due a second at present, of all nodes together
+    double open = 0.0;       // slots that are open at the same time, of all nodes together
+    double own = 0.0;        // open slots of this node
 };
 
-// A view of what it is made from, which must outlive it.
+// Refers to the arguments of its constructor, which must outlive it.
 class SlowStart {
   public:
     SlowStart(const DecisionContext& context, const FleetCapacityEstimate& capacity,
@@ -31,15 +33,17 @@
 
     bool isWarmingUp(const Endpoint& endpoint) const;
 
-    // Of an endpoint that warms up.
+    // The slots at an endpoint that is warming up.
     SlowStartSlots slots(const Endpoint& endpoint) const;
 
-    // Whether this node has the turns that the request takes there. One above the typical load takes several,
-    // or the one that is open by chance, unless it is too much.
+    // Whether this node may send the request to an endpoint that is warming up. A request above the typical
+    // load needs several slots. If fewer are open at this node, it is admitted with the probability of open
+    // slots over needed slots; if it needs more than the slots open at all nodes plus one, never.
     bool admits(const Request& request, const Endpoint& endpoint) const;
 
-    // Raises the weights of endpoints that warm up, so that over all nodes they are selected as their weight
-    // says though only the nodes whose turn it is select them; some turns pass unused.
+    // Raises the weights of endpoints that are warming up. Only nodes with an open slot can select such an
+    // endpoint, and some slots stay unused; with the raised weights the endpoint's share of the connections
+    // from all nodes together still follows its original weight.
     void adjustWeightsToSlots(CandidateSet& set, const ArrivalRate& arrivals) const;
 
   private:
--- a/src/decision/weighted_selection.cpp
+++ b/src/decision/weighted_selection.cpp
@@ -17,9 +17,9 @@
 namespace ivyreel {
 namespace {
 
-// Departure, selection by group: where every endpoint that has any of a group pays for it, the random number
-// is made from group and endpoint instead of from the request. Prevents that each group is spread over the
-// fleet: its members meet at one endpoint.
+// Departure, selection by group: where each endpoint that serves any member of a group does extra work for
+// the group, the random number is derived from the group and the endpoint instead of the request, so that the
+// members select the same endpoint. This prevents each group from being spread over the fleet.
 std::uint64_t selectionKey(const Request& request, const Settings& settings) {
     if (hasAffinity(request, settings)) return static_cast<std::uint64_t>(request.arrival.group);
     const bool anyNode = settings.forwardingMode == ForwardingMode::Passthrough;
@@ -31,8 +31,8 @@
     return candidate.exponentialSample / (candidate.weight > 0.0 ? candidate.weight : 1.0);
 }
 
-// The first in the race. Members of a group go where this node has most of them, and an endpoint without
-// weight wins only where all are.
+// Candidates with more connections of the request's group come first, then those with a positive weight, then
+// those with a lower score.
 const Candidate& bestCandidate(const std::vector<Candidate>& candidates) {
     const auto rank = [](const Candidate& candidate) {
         return std::tuple(-candidate.groupMembers, candidate.weight > 0.0 ? 0 : 1,
@@ -43,7 +43,7 @@
         [&rank](const Candidate& left, const Candidate& right) { return rank(left) < rank(right); });
 }
 
-// The race before any weight but that of the locality.
+// The score with the locality factor as the only weight.
 double localityScore(const Candidate& candidate) {
     return candidate.exponentialSample / candidate.locality;
 }
@@ -66,8 +66,8 @@
     if (set.candidates.empty()) return std::nullopt;
     if (shedOverloaded(set, request)) return std::nullopt;
     slowStart_.adjustWeightsToSlots(set, arrivals_);
-    // One that can be polled could weigh up to 100; if it leads even so, it is polled, so that the selection
-    // is as with all loads known.
+    // A candidate that can be polled is weighted as if all 100 per cent were spare. If it is the best at that
+    // weight, its load is polled, so that the selection is the same as with all loads known.
     const Candidate& best = bestCandidate(set.candidates);
     return Selection{best.endpoint->entry.id, best.canBePolled};
 }
@@ -115,32 +115,33 @@
     const Settings& settings = context_.settings;
     for (Candidate& candidate : set.candidates) {
         const Endpoint& endpoint = *candidate.endpoint;
-        // Departure, discount by success: the weight is discounted by recent success and by effective
-        // capacity. Prevents that an endpoint which fails at once, or is warming up, gets a full share
-        // because its utilisation is low.
+        // Departure, discount by success: the weight is multiplied by the recent success rate and by the
+        // effective capacity. This prevents an endpoint that fails attempts at once, or is warming up, from
+        // getting a full share because its utilisation is low.
         const double capacity = effectiveCapacity(endpoint, settings, context_.now);
         const double factor = endpoint.successRate * capacity;
         candidate.locality = endpoint.entry.zone == settings.zone ? 1.0 : crossZoneWeight_;
         candidate.utilisation = utilisation_.current(endpoint, capacity);
         candidate.canBePolled = canBePolled(endpoint, request, settings, context_.now);
         const double unused = kFullUtilisation - candidate.utilisation;
-        // Departure, utilisation with the connection: what the connection adds counts already. Prevents that
-        // a heavy one goes where it does not fit.
+        // Departure, utilisation with the connection: the weight already includes the utilisation that the
+        // connection adds. This prevents a connection of high load from being sent to an endpoint without
+        // enough spare capacity for it.
         const double spare = candidate.canBePolled
                                  ? kFullUtilisation
                                  : unused - utilisation_.added(endpoint, request.load, capacity);
         candidate.weight = candidate.locality * factor * spare;
-        // A warm one that can be polled is taken to be like the others.
+        // For a warmed-up endpoint that can be polled, the total assumes the estimated utilisation.
         const bool assumed = candidate.canBePolled && !slowStart_.isWarmingUp(endpoint);
         set.totalWeight += assumed ? candidate.locality * factor * unused : std::max(0.0, candidate.weight);
     }
 }
 
-// Departure, few endpoints for a group: on a busy fleet a group meets on a few endpoints, the first in its
-// race before any weight, those where this node has members, and warming-up ones; on as many as it fills by
-// its part of the arrivals here. Prevents that nodes whose reports differ scatter the groups over the fleet,
-// where each endpoint pays for them, and that a busy fleet so adds to its own load. One with spare capacity
-// is better off with an even spread.
+// Departure, few endpoints for a group: on a busy fleet a group uses only the endpoints with the lowest
+// scores by locality alone, those where this node has members, and those that are warming up. The number of
+// the first follows the group's share of the arrivals at this node. This prevents nodes with different load
+// reports from scattering the groups over the fleet, where each endpoint does extra work for each group, so
+// that a busy fleet adds to its own load. A fleet with spare capacity gains more from an even distribution.
 void WeightedSelection::retainGroupEndpoints(CandidateSet& set) const {
     const std::ptrdiff_t kept = groups_.endpointsPerGroup(context_.endpoints.size());
     if (std::ssize(set.candidates) <= kept) return;
@@ -163,10 +164,10 @@
     return candidate.utilisation < kFullUtilisation * limit;
 }
 
-// Departure, load shedding: where no endpoint has spare capacity none is selected, and on a busy fleet only
-// those that have some; endpoints with members of the group take a little more. Prevents that an overloaded
-// fleet admits everything and serves nobody within the message objective. Returns whether none is to be
-// selected.
+// Departure, load shedding: if no endpoint has spare capacity, none is selected. On a busy fleet, and for
+// affinity groups, only endpoints with spare capacity remain; those with members of the group are filled up
+// to a slightly higher limit. This prevents an overloaded fleet from admitting all requests and serving none
+// within the message latency objective. Returns whether no endpoint is to be selected.
 bool WeightedSelection::shedOverloaded(CandidateSet& set, const Request& request) const {
     if (!mayReject(request)) return false;
     const auto spare = [this](const Candidate& candidate) { return hasSpareCapacity(candidate); };
--- a/src/decision/weighted_selection.hpp
+++ b/src/decision/weighted_selection.hpp
@@ -1,9 +1,11 @@
-// Selects the endpoint of a request at random, in proportion to weights: 100 minus the utilisation that the
-// endpoint will have with the connection, times factors for success, capacity and locality.
+// Selects the endpoint of a request at random, in proportion to weights. The weight of an endpoint is 100
+// minus the utilisation in per cent that it will have with the connection, times factors for success,
+// capacity and locality.
 //
-// The selection is a race (weighted rendezvous hashing): the endpoint with the least -log(chance) / weight
-// wins, which each does in proportion to its weight. The chance comes from the request or its affinity group
-// and the endpoint, so that the same request comes to the same endpoint while the weights are the same.
+// The selection uses weighted rendezvous hashing: the endpoint with the lowest score, -log(random) / weight,
+// is selected, which gives each endpoint a probability in proportion to its weight. The random number, 0 to
+// 1, is a hash of the endpoint and of the request or its affinity group. A request therefore selects the same
+// endpoint as long as the weights are the same.
 #pragma once
 
 #include <optional>
@@ -22,21 +24,22 @@
 
 struct Selection {
     EndpointId endpoint{};
-    bool pollFirst = false;  // it leads at the highest weight it can have: its load is to be polled first
+    bool pollFirst = false;  // selected at the highest possible weight: poll its load first
 };
 
-// A view of what it is made from, which must outlive it.
+// Refers to the arguments of its constructor, which must outlive it.
 class WeightedSelection {
   public:
     WeightedSelection(const DecisionContext& context, const FleetSnapshot& fleet, const SlowStart& slowStart,
                       const AffinityGroups& groups, const ArrivalRate& arrivals);
 
-    // None where no endpoint may be used, or none has spare capacity and the request may be rejected.
+    // Returns nothing if no endpoint may be used, or if none has spare capacity and the request may be
+    // rejected.
     std::optional<Selection> select(const Request& request) const;
 
   private:
     enum class Eligibility {
-        Preferred,  // not tried before, and not silent when it was polled
+        Preferred,  // not tried for this request, and not unresponsive when it was polled
         Any,
     };
 
--- a/tests/decision/admission_control_test.cpp
+++ b/tests/decision/admission_control_test.cpp
@@ -1,4 +1,4 @@
-// Waiting for capacity, load shedding, and quotas of tenants.
+// Waiting for spare capacity, load shedding, and tenant quotas.
 #include "decision/admission_control.hpp"
 
 #include <gtest/gtest.h>
@@ -57,17 +57,18 @@
     settings.tenants = {TenantSettings{0.5, 30.0}, TenantSettings{0.5, 30.0}};
     DecisionEngineDriver d = makeFleet(settings, 3, 0.5);
     for (int i = 0; i < 18; ++i) {
-        d.establishConnection(
-            d.submitRequest(0, 3200ms, 0, 0));  // 18 on one of 3 nodes; its quota there is 10
+        // 18 connections at one of 3 nodes, whose part of the quota is 10.
+        d.establishConnection(d.submitRequest(0, 3200ms, 0, 0));
         d.advance(1s);
     }
-    EXPECT_NE(d.target(d.submitRequest(0, 3200ms, 0, 0)), 0U) << "there is capacity: no request is rejected";
+    EXPECT_NE(d.target(d.submitRequest(0, 3200ms, 0, 0)), 0U)
+        << "no request is rejected while there is spare capacity";
     for (std::uint64_t id = 1; id <= 3; ++id) {
         d.setReportedLoad(id, 0.8);
     }
     d.advance(5s);
-    EXPECT_EQ(d.rejections(d.submitRequest(0, 3200ms, 0, 0)), 1) << "over quota";
-    EXPECT_EQ(d.rejections(d.submitRequest(0, 3200ms, 0, 1)), 0) << "within quota";
+    EXPECT_EQ(d.rejections(d.submitRequest(0, 3200ms, 0, 0)), 1) << "the tenant is over its quota";
+    EXPECT_EQ(d.rejections(d.submitRequest(0, 3200ms, 0, 1)), 0) << "the tenant is within its quota";
 }
 
 TEST(AdmissionControl, FewConnectionsDoNotPutTenantOverQuota) {
@@ -77,7 +78,7 @@
     settings.tenants = {TenantSettings{0.5, 450.0}, TenantSettings{0.5, 450.0}};
     DecisionEngineDriver d = makeFleet(settings, 3, 0.7);
     d.advance(2s);
-    for (int i = 0; i < 3; ++i) {  // quota 1.5; times 300 nodes: 900 of 450
+    for (int i = 0; i < 3; ++i) {  // quota 1.5 a node; times 300 nodes: 900 of 450
         const RequestId request = d.submitRequest();
         d.advance(20ms);
         EXPECT_EQ(d.finalAnswers(request), 0);
@@ -85,9 +86,9 @@
     }
 }
 
-// ---- admission_control by itself ----
+// ---- AdmissionControl without the engine ----
 
-// Three nodes; the quota of tenant 0 is 30 connections, 10 of them at each node.
+// Three nodes. The quota of tenant 0 is 30 connections, 10 at each node; tenant 1 has no quota.
 Settings quotaSettings() {
     Settings settings = defaultSettings();
     settings.overQuotaPriorityWeight = 0.1;
--- a/tests/decision/affinity_groups_test.cpp
+++ b/tests/decision/affinity_groups_test.cpp
@@ -1,4 +1,4 @@
-// Affinity groups: few endpoints a group, the same ones at all nodes.
+// Affinity groups: all nodes send the requests of a group to the same few endpoints.
 #include "decision/affinity_groups.hpp"
 
 #include <gtest/gtest.h>
@@ -36,8 +36,8 @@
         settings.groupAffinity = true;
         std::vector<double> loads;
         for (std::uint32_t i = 0; i < 40; ++i) {
-            loads.push_back(
-                0.1 + 0.05 * ((node * 7 + i * 13) % 15));  // the reports of different ages that nodes have
+            // Nodes have load reports of different ages.
+            loads.push_back(0.1 + 0.05 * ((node * 7 + i * 13) % 15));
         }
         DecisionEngineDriver d = makeFleet(settings, loads);
         const RequestId request = d.submitRequest(99);
@@ -48,8 +48,8 @@
     EXPECT_LE(targets.size(), 4U);
 }
 
-// How many endpoints get requests of one group on a busy fleet whose load reports change, after requests of
-// other groups.
+// The number of endpoints that get requests of one group on a busy fleet with changing load reports, after
+// 200 requests of `otherGroups` other groups, or of the group itself if that is 0.
 std::size_t endpointsOfGroup(std::uint64_t otherGroups) {
     Settings settings = defaultSettings();
     settings.nodes = 1;
@@ -75,13 +75,13 @@
     return targets.size();
 }
 
-// Guards against rejecting a group that needs more than a few endpoints while others are idle.
+// Guards against rejecting requests of a group that needs more than a few endpoints while others are idle.
 TEST(AffinityGroups, LargeGroupGetsMoreEndpointsOnBusyFleet) {
     EXPECT_LE(endpointsOfGroup(200), 3U);
     EXPECT_GE(endpointsOfGroup(0), 5U);
 }
 
-// ---- affinity_groups by itself ----
+// ---- AffinityGroups without the engine ----
 
 TEST(AffinityGroups, CountConnectionsByGroupAndEndpoint) {
     AffinityGroups groups;
@@ -92,8 +92,8 @@
     AffinityGroups::MemberCursor members = groups.membersOf(GroupId{1});
     EXPECT_EQ(members.countAt(EndpointId{1}), 0);
     EXPECT_EQ(members.countAt(EndpointId{5}), 2);
-    EXPECT_EQ(members.countAt(EndpointId{5}), 2) << "the same one again";
-    EXPECT_EQ(members.countAt(EndpointId{7}), 0) << "of another group";
+    EXPECT_EQ(members.countAt(EndpointId{5}), 2) << "the same endpoint again";
+    EXPECT_EQ(members.countAt(EndpointId{7}), 0) << "connections of another group";
     EXPECT_EQ(members.countAt(EndpointId{9}), 1);
     EXPECT_EQ(members.countAt(EndpointId{99}), 0);
     EXPECT_EQ(groups.membersOf(GroupId{3}).countAt(EndpointId{5}), 0);
@@ -111,7 +111,7 @@
 TEST(AffinityGroups, SmallGroupsHaveTwoEndpoints) {
     AffinityGroups groups;
     EXPECT_EQ(groups.endpointsPerGroup(0), 2);
-    EXPECT_EQ(groups.endpointsPerGroup(12), 2) << "nothing is known yet";
+    EXPECT_EQ(groups.endpointsPerGroup(12), 2) << "no arrivals were recorded";
     for (std::uint64_t group = 1; group <= 1000; ++group)
         groups.recordArrival(GroupId{group});
     EXPECT_EQ(groups.endpointsPerGroup(100), 2);
@@ -124,7 +124,7 @@
         single.recordArrival(GroupId{1});
         five.recordArrival(GroupId{1 + i % 5});
     }
-    EXPECT_EQ(single.endpointsPerGroup(100), 300) << "three times all: no bound";
+    EXPECT_EQ(single.endpointsPerGroup(100), 300) << "three times all endpoints: there is no upper bound";
     EXPECT_EQ(five.endpointsPerGroup(100), 60);
 }
 
@@ -136,7 +136,7 @@
         groups.recordArrival(GroupId{group});
     EXPECT_GT(groups.endpointsPerGroup(100), 80);
     groups.recordArrival(GroupId{5000});
-    EXPECT_EQ(groups.endpointsPerGroup(100), 8) << "as after the first arrival";
+    EXPECT_EQ(groups.endpointsPerGroup(100), 8) << "the same as after the first arrival";
 }
 
 }  // namespace
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -1,4 +1,4 @@
-// Startup, determinism, and settings that no deployment has.
+// The decision engine at startup, its determinism, and unusual settings.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -54,7 +54,7 @@
     const RequestId request = d.submitRequest();
     EXPECT_EQ(d.target(request), 1U);
     d.endAttempt(request, Outcome::Reset);
-    EXPECT_EQ(d.attempts(request), 2) << "the retry goes to the only endpoint";
+    EXPECT_EQ(d.attempts(request), 2) << "the only endpoint has to get the retry";
 }
 
 TEST(DecisionEngine, UsesLoadReportsOfResponsesWithoutHealthChecks) {
@@ -69,7 +69,8 @@
     const std::uint64_t reportingEndpoint = d.target(request);
     for (int i = 0; i < 20; ++i) {
         const RequestId next = d.submitRequest();
-        // The missing report of the other one counts as the mean, which is full too: both are treated alike.
+        // The other endpoint has no report and counts by the mean, which is full too, so both are
+        // treated alike.
         d.deliver(ClientDisconnected{next});
     }
     d.deliver(AttemptEnded{RequestId{999}, AttemptIndex{0}, EndpointId{3 - reportingEndpoint}, Outcome::Ok,
--- a/tests/decision/final_answer_test.cpp
+++ b/tests/decision/final_answer_test.cpp
@@ -1,4 +1,4 @@
-// Each request gets one final answer, before its client gives up.
+// Each request gets exactly one final answer, before the client's timeout.
 #include <gtest/gtest.h>
 
 #include "decision_engine_driver.hpp"
@@ -19,11 +19,11 @@
     const RequestId request = d.submitRequest();
     d.advance(3200ms);
     EXPECT_EQ(d.attempts(request), 1);
-    EXPECT_EQ(d.failures(request), 1) << "a request whose attempt may be running is not rejected";
+    EXPECT_EQ(d.failures(request), 1) << "a request that may be executing is not rejected";
     EXPECT_EQ(d.rejections(request), 0);
     d.endAttempt(request, Outcome::Timeout);
     d.advance(5s);
-    EXPECT_EQ(d.attempts(request), 1) << "no attempt after the final answer";
+    EXPECT_EQ(d.attempts(request), 1) << "no attempt starts after the final answer";
     EXPECT_EQ(d.finalAnswers(request), 1);
 }
 
--- a/tests/decision/locality_preference_test.cpp
+++ b/tests/decision/locality_preference_test.cpp
@@ -1,4 +1,4 @@
-// Preference for endpoints of the own zone.
+// Preference for endpoints in this node's own zone.
 #include "decision/locality_preference.hpp"
 
 #include <gtest/gtest.h>
@@ -27,16 +27,17 @@
 
 TEST(LocalityPreference, PrefersOwnZoneAndSpillsOverWhenFull) {
     EXPECT_GT(localZoneShare(0.3), 0.7);
-    EXPECT_LT(localZoneShare(0.3), 0.85) << "other zones keep a share";
+    EXPECT_LT(localZoneShare(0.3), 0.85) << "other zones have to keep a share";
     EXPECT_NEAR(localZoneShare(0.84), 0.5, 0.05);
 }
 
-// Guards against a preference that vanishes where the saturation threshold is low.
+// Guards against losing the preference where the saturation threshold is low.
 TEST(LocalityPreference, PrefersOwnZoneWithLowSaturationThreshold) {
     EXPECT_GT(localZoneShare(0.3, 1.0), 0.7);
 }
 
-// Guards against cross-zone connections that no lack of capacity requires: half of all connections in groups.
+// Guards against unnecessary cross-zone connections of affinity groups while the own zone has spare capacity:
+// half of all their connections crossed zones.
 TEST(LocalityPreference, GroupsStayInZoneDependingOnCrossZoneCost) {
     const auto crossing = [](double cost) {
         Settings settings = defaultSettings();
@@ -62,9 +63,9 @@
     EXPECT_LT(crossing(0.13), 0.07);
 }
 
-// ---- locality_preference by itself ----
+// ---- crossZoneWeight without the engine ----
 
-// The weight of endpoints of other zones, where the only endpoint of the own zone has this load.
+// The weight factor of other zones if the only endpoint in the own zone has this load over capacity.
 double weightAtLoad(double ownLoad, double crossZoneCost = 0.02) {
     PartsFixture f;
     f.settings.crossZoneCost = crossZoneCost;
@@ -80,7 +81,7 @@
     const double lowest = 0.005 / (0.005 + 0.02);
     EXPECT_DOUBLE_EQ(weightAtLoad(0.0), lowest);
     EXPECT_DOUBLE_EQ(weightAtLoad(0.64), lowest);
-    EXPECT_DOUBLE_EQ(weightAtLoad(0.75), (lowest + 1.0) / 2) << "half way to the threshold of 0.85";
+    EXPECT_DOUBLE_EQ(weightAtLoad(0.75), (lowest + 1.0) / 2) << "halfway to the threshold of 0.85";
 }
 
 TEST(LocalityPreference, EndsAtTheSaturationThreshold) {
@@ -89,10 +90,12 @@
 }
 
 TEST(LocalityPreference, WeightDecreasesWithCrossZoneCost) {
-    EXPECT_DOUBLE_EQ(weightAtLoad(0.3, 0.0), 1.0) << "free of cost, and nothing is divided by zero";
+    EXPECT_DOUBLE_EQ(weightAtLoad(0.3, 0.0), 1.0)
+        << "crossing zones costs nothing; there is no division by zero";
     EXPECT_DOUBLE_EQ(weightAtLoad(0.3, 0.005), 0.5);
     EXPECT_LT(weightAtLoad(0.3, 0.1), 0.05);
-    EXPECT_LT(weightAtLoad(0.8, 0.1), weightAtLoad(0.8, 0.02)) << "a high cost is avoided for longer";
+    EXPECT_LT(weightAtLoad(0.8, 0.1), weightAtLoad(0.8, 0.02))
+        << "a high cost keeps the preference up to a higher load";
 }
 
 TEST(LocalityPreference, NeedsAUsableEndpointInTheOwnZone) {
@@ -100,7 +103,7 @@
     const FleetSnapshot fleet;
     const DecisionContext context = f.context();
     const UtilisationEstimate utilisation{context, fleet};
-    EXPECT_EQ(crossZoneWeight(context, utilisation), 1.0) << "no endpoints at all";
+    EXPECT_EQ(crossZoneWeight(context, utilisation), 1.0) << "there are no endpoints";
     f.list({endpointEntry(1, 0), endpointEntry(2, 1)});
     EXPECT_LT(crossZoneWeight(context, utilisation), 1.0);
     f.endpoints.setBanned(EndpointId{1}, true);
--- a/tests/decision/request_table_test.cpp
+++ b/tests/decision/request_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of requests, and an endpoint's count of them.
+// The request table, and the connection count and load of an endpoint.
 #include "decision/request_table.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     RequestTable table;
     table.findOrAdd(RequestId{2}).load = 5.0;
     ASSERT_NE(table.find(RequestId{2}), nullptr);
-    EXPECT_EQ(table.findOrAdd(RequestId{2}).load, 5.0) << "the same one";
+    EXPECT_EQ(table.findOrAdd(RequestId{2}).load, 5.0) << "the same request";
     EXPECT_EQ(table.find(RequestId{1}), nullptr);
     EXPECT_EQ(table.find(RequestId{3}), nullptr);
 }
@@ -66,7 +66,7 @@
     addConnection(endpoint, 30'000);
     addConnection(endpoint, 30'000);
     removeConnection(endpoint, RequestId{1}, 100'000);
-    EXPECT_DOUBLE_EQ(endpoint.ownLoad, 0.0) << "not negative";
+    EXPECT_DOUBLE_EQ(endpoint.ownLoad, 0.0) << "the load is not negative";
     addConnection(endpoint, 30'000.1);
     removeConnection(endpoint, RequestId{2}, 10'000);
     removeConnection(endpoint, RequestId{3}, 10'000);
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which failed attempts are retried, where, and until when.
+// Which failed attempts are retried, at which endpoints, and until when.
 #include "decision/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -57,7 +57,7 @@
         EXPECT_EQ((byZone.target(request) + 1) / 2, (first + 1) / 2);
         byZone.endAttempt(request, Outcome::Timeout);
         EXPECT_EQ((byZone.target(request) + 1) / 2, (first + 1) / 2)
-            << "both endpoints of the zone were tried: still the zone";
+            << "the retry stays in the zone after both endpoints of the zone were tried";
 
         DecisionEngineDriver byCell =
             makeDriver(withIdempotency(Idempotency::WithKey, DeduplicationScope::Cell), endpoints);
@@ -91,7 +91,8 @@
     EXPECT_EQ(d.finalAnswers(request), 1);
 }
 
-// Its connection is established after the window: the endpoints no longer know the idempotency key.
+// Guards against a second execution: if the connection is established after the window, the endpoints no
+// longer know the idempotency key.
 TEST(RetryPolicy, AttemptIsInvalidAfterDeduplicationWindow) {
     Settings settings = withIdempotency(Idempotency::WithKey, DeduplicationScope::All);
     settings.classes[0].deduplicationWindow = 1s;
@@ -131,7 +132,7 @@
     EXPECT_FALSE(d.isStillValid(request));
 }
 
-// The scope is remembered from the time of the attempt.
+// Guards against losing the deduplication scope when the first endpoint leaves the list.
 TEST(RetryPolicy, RetryStaysInScopeOfEndpointThatLeft) {
     for (const DeduplicationScope scope : {DeduplicationScope::Zone, DeduplicationScope::Cell}) {
         DecisionEngineDriver d =
@@ -179,7 +180,7 @@
     EXPECT_EQ(d.failures(request), 1);
 }
 
-// ---- retry_policy by itself ----
+// ---- retry policy without the engine ----
 
 // A request that an attempt may have executed.
 Request executedRequest(Idempotency idempotency, DeduplicationScope scope = DeduplicationScope::All) {
@@ -272,7 +273,8 @@
     EXPECT_EQ(finalAnswerDeadline(request, settings), kNow - 100ms);
 }
 
-// The timeout of an attempt that starts so long after the arrival; the objective is 800 ms, the deadline 3 s.
+// The timeout of an attempt that starts `elapsed` after the arrival. The latency objective is 800 ms, the
+// deadline 3 s.
 Micros timeoutAfter(Micros elapsed, int attempts = 1, double meanSetupMicros = 0.0,
                     Idempotency idempotency = Idempotency::Idempotent) {
     Request request;
@@ -290,9 +292,9 @@
 
 TEST(RetryPolicy, AttemptTimeoutIsHalfOfRemainingTime) {
     EXPECT_EQ(timeoutAfter(0ms), 400ms);
-    EXPECT_EQ(timeoutAfter(600ms), 250ms) << "the connect timeout at least";
-    EXPECT_EQ(timeoutAfter(1s), 1s) << "past the objective the deadline counts";
-    EXPECT_EQ(timeoutAfter(0ms, 1, 200'000), 600ms) << "three times the usual setup time at least";
+    EXPECT_EQ(timeoutAfter(600ms), 250ms) << "no less than the connect timeout";
+    EXPECT_EQ(timeoutAfter(1s), 1s) << "half of the time until the deadline, as the objective has passed";
+    EXPECT_EQ(timeoutAfter(0ms, 1, 200'000), 600ms) << "no less than three times the usual setup time";
 }
 
 TEST(RetryPolicy, AttemptTimeoutNeverExceedsDeadline) {
--- a/tests/decision/saturation_threshold_test.cpp
+++ b/tests/decision/saturation_threshold_test.cpp
@@ -1,4 +1,4 @@
-// The load at which messages begin to be late: learning it, and staying below it.
+// The saturation threshold: how it is learned, and how it limits what endpoints get.
 #include "decision/saturation_threshold.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,8 @@
 namespace ivyreel::test {
 namespace {
 
-// How many of 20 requests are sent to a fleet at 0.78, after its messages were late for a while, or were not.
+// How many of 20 requests are sent to a fleet at 0.78 load over capacity, whose messages were late in the
+// last 120 s if `late`, and on time otherwise.
 int attemptsForTwentyRequests(bool late) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 2, 0.78);
     const RequestId open = d.submitRequest();
@@ -34,7 +35,8 @@
     EXPECT_EQ(attemptsForTwentyRequests(true), 0);
 }
 
-// Guards against filling endpoints until a few messages are late, where few cost as much as many.
+// Guards against filling endpoints until a few messages are late, where a few late messages cost as much as
+// many.
 TEST(SaturationThreshold, StartsLowerWithAvailabilityWeight) {
     for (const double availabilityWeight : {0.0, 0.4}) {
         Settings settings = defaultSettings();
@@ -45,9 +47,9 @@
     }
 }
 
-// ---- saturation_threshold by itself ----
+// ---- SaturationThreshold without the engine ----
 
-// An endpoint with a connection of this node that reports this load.
+// An endpoint that has one connection of this node and reports this load over capacity.
 Endpoint loadedEndpoint(double load) {
     Endpoint endpoint;
     endpoint.ownConnections = 1;
@@ -55,7 +57,7 @@
     return endpoint;
 }
 
-// The threshold after this many reports, all of them at the threshold.
+// The threshold after this many reports of a load equal to the threshold.
 double thresholdAfter(int reports, bool late) {
     SaturationThreshold threshold{defaultSettings()};
     for (int i = 0; i < reports; ++i) {
--- a/tests/decision/settings_change_test.cpp
+++ b/tests/decision/settings_change_test.cpp
@@ -1,4 +1,4 @@
-// Changes of the settings while requests are in flight.
+// Changes to the settings while requests are in flight.
 #include <gtest/gtest.h>
 
 #include <utility>
@@ -52,7 +52,7 @@
     more.classes[1].idempotency = Idempotency::NonIdempotent;
     d.deliver(SettingsChanged{more});
     const RequestId request = d.submitRequest(0, 3200ms, 1);
-    EXPECT_EQ(d.target(request), 2U) << "the other one is ejected";
+    EXPECT_EQ(d.target(request), 2U) << "endpoint 1 is unhealthy";
     d.endAttempt(request, Outcome::Timeout);
     EXPECT_EQ(d.failures(request), 1);
 }
--- a/tests/decision/simulated_fleet.cpp
+++ b/tests/decision/simulated_fleet.cpp
@@ -51,7 +51,7 @@
     return randomReport(*endpoint);
 }
 
-// Each report states some of the values, and a few state invalid ones.
+// Each report contains some of the values, and a few reports contain invalid values.
 LoadReport SimulatedFleet::randomReport(const SimulatedEndpoint& endpoint) {
     const double capacity = std::max(0.5, endpoint.entry.capacityUnits) * kMicrosPerSecond;
     const double noise = random_.between(-0.04, 0.04);
--- a/tests/decision/simulated_fleet.hpp
+++ b/tests/decision/simulated_fleet.hpp
@@ -1,5 +1,5 @@
-// The endpoints of a seeded world of events: their entries in the endpoint list, and the load that they
-// report.
+// The simulated endpoints of a seeded event sequence: their entries in the endpoint list, and the load that
+// they report.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,8 @@
     return Micros{static_cast<Micros::rep>(seconds * kMicrosPerSecond)};
 }
 
-// The random numbers of a world. All of its parts draw from one sequence, whose order the digests depend on.
+// The random numbers of one event sequence. All its generators draw from one source, and the digests depend
+// on the order in which they draw.
 class RandomSource {
   public:
     explicit RandomSource(std::uint64_t seed) : random_(seed) {}
@@ -37,10 +38,10 @@
 
 struct SimulatedEndpoint {
     EndpointEntry entry;
-    double loadOfOtherNodes = 0.0;  // over its capacity
+    double loadOfOtherNodes = 0.0;  // load over capacity
     double loadOfThisNode = 0.0;    // microseconds of work a second
-    double slowness = 1.0;          // times the work that a connection costs a typical endpoint
-    double errorShare = 0.0;        // of the attempts
+    double slowness = 1.0;          // work of a connection here, over its work at a typical endpoint
+    double errorShare = 0.0;        // part of the attempts that end in an error
     Time unresponsiveUntil{0};
     int connectionsOfThisNode = 0;
 };
@@ -48,24 +49,24 @@
 struct SimulatedFleetSettings {
     std::uint32_t endpoints = 0;
     std::uint32_t nodes = 1;
-    double targetLoad = 0.0;     // over the capacity
-    double capacityUnits = 0.0;  // mean of the endpoints, in cores
+    double targetLoad = 0.0;     // load over capacity
+    double capacityUnits = 0.0;  // mean capacity of an endpoint, in cores
 };
 
 class SimulatedFleet {
   public:
     SimulatedFleet(const SimulatedFleetSettings& settings, RandomSource& random);
 
-    // The endpoint of this id; none: it is not in the fleet.
+    // Returns null if no endpoint of the fleet has this id.
     SimulatedEndpoint* find(EndpointId id);
-    // One endpoint at random.
+    // An endpoint selected at random.
     SimulatedEndpoint& any();
     std::vector<EndpointEntry> entries() const;
 
-    // What the endpoint reports at the moment; none: it reports nothing.
+    // The endpoint's load report at present, or nothing if it sends none.
     std::optional<LoadReport> report(EndpointId id);
 
-    // Connections of this node that the endpoint gets or loses. Ids that are not in the fleet are ignored.
+    // Add or remove a connection of this node at the endpoint. Ids that are not in the fleet are ignored.
     void addConnection(EndpointId id, double load);
     void removeConnection(EndpointId id, double load);
 
--- a/tests/decision/slow_start_fleet_test.cpp
+++ b/tests/decision/slow_start_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Slow start over a whole fleet: the decision engines of many nodes share the same endpoints in one seeded
-// simulation. The budget is for what an endpoint gets from all nodes together.
+// Slow start of a whole fleet: the decision engines of many nodes share the same endpoints in a seeded
+// simulation. The budget limits the attempts that an endpoint gets from all nodes together.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -27,15 +27,15 @@
     return Micros{static_cast<Micros::rep>(seconds * 1e6)};
 }
 
-// What one run simulates. The settings are drawn at random within their allowed ranges.
+// The parameters of one simulation. The engine's settings are drawn at random from their allowed ranges.
 struct FleetScenario {
     std::uint32_t nodes = 100;
     std::uint64_t seed = 1;
-    bool listsCapacities = false;    // the endpoint list states capacities
-    bool reportsConnections = true;  // load reports state the number of connections
-    bool nodesRestart = true;        // a tenth of them at a time
-    double arrivalsPerSecond = 250;  // of all nodes
-    double minimumBudgetUse = 0.25;  // part of the budget that has to be used at least
+    bool listsCapacities = false;    // the endpoint list contains capacities
+    bool reportsConnections = true;  // load reports contain the number of connections
+    bool nodesRestart = true;        // nodes restart, a tenth of them at a time
+    double arrivalsPerSecond = 250;  // at all nodes together
+    double minimumBudgetUse = 0.25;  // minimum part of the budget that has to be used
 };
 
 class FleetSimulation {
@@ -50,7 +50,7 @@
         settings_.classes.push_back(settings_.classes.front());
         makeEndpoints();
         for (std::uint32_t i = 0; i < scenario.nodes; ++i) {
-            // One in ten sees several times the mean.
+            // One node in ten gets several times the mean arrival rate.
             arrivalRates_.push_back(scenario.arrivalsPerSecond / scenario.nodes * (i % 10 == 3 ? 4.0 : 0.67));
             nodes_.emplace_back();
             startNode(i);
@@ -71,8 +71,8 @@
         now_ = end;
     }
 
-    // How far the attempts in any window exceed the budget N of a new endpoint, in the worst case, relative
-    // to what chance may add: 2 * sqrt(N) + 2.
+    // The largest excess of the attempts in a window over the budget N of a new endpoint, relative to the
+    // excess that chance explains: 2 * sqrt(N) + 2.
     double worstBudgetExcess() const {
         double most = -1.0;
         for (const SimulatedEndpoint& endpoint : endpoints_) {
@@ -92,7 +92,7 @@
         return most;
     }
 
-    // The part of their budget that new endpoints got while in slow start.
+    // The attempts that new endpoints got during slow start, as a part of their budget.
     double budgetUse() const {
         double sent = 0.0;
         double budget = 0.0;
@@ -113,7 +113,7 @@
         int connections = 0;
         bool isFailing = false;
         Time startedAt{0};
-        std::vector<Time> attempts;  // while it was in slow start
+        std::vector<Time> attempts;  // during its slow start
     };
     struct SimulatedNode {
         std::unique_ptr<DecisionEngine> engine;
@@ -127,8 +127,8 @@
     void schedule(Time when, std::function<void()> what) { scheduledEvents_.emplace(when, std::move(what)); }
 
     void makeEndpoints() {
-        // Two kinds, one of half the capacity, each with a random spread. The mean load of a connection is 1
-        // here.
+        // Two kinds of endpoints, one with half the capacity of the other, each with a random spread. The
+        // unit of capacity is the mean load of a connection, which is 1.
         const double large = uniform(40, 120);
         for (std::uint64_t id = 1; id <= kOldEndpoints + kNewEndpoints; ++id) {
             SimulatedEndpoint endpoint;
@@ -142,7 +142,7 @@
         }
     }
 
-    // New endpoints start within some seconds, while a few of the old ones drain.
+    // New endpoints start within a few seconds, while some of the old endpoints drain.
     void scheduleReleases() {
         for (std::uint64_t i = 0; i < kNewEndpoints; ++i) {
             schedule(now_ + 6s + micros(uniform(0, 4)), [this, i] {
@@ -160,7 +160,7 @@
         }
     }
 
-    // Each node is notified of the change after a delay of its own.
+    // Each node is notified of the change after a random delay.
     void announce(const EndpointEntry& entry) {
         for (std::uint32_t i = 0; i < nodes_.size(); ++i) {
             schedule(now_ + micros(uniform(0.1, 1.0)), [this, i, entry] {
@@ -169,7 +169,7 @@
         }
     }
 
-    // Many clients that connect within a second.
+    // Many clients connect within a second.
     void scheduleBursts() {
         for (const Micros when : {9s, 13s, 16s}) {
             schedule(now_ + when, [this] { scheduleBurst(); });
@@ -255,7 +255,7 @@
         std::vector<Action> actions;
         nodes_[i].engine->handle(now_, event, actions);
         const std::uint64_t incarnation = nodes_[i].incarnation;
-        // Results are for this incarnation of the node, if it still runs.
+        // Results are discarded if the node has stopped or restarted meanwhile.
         const auto later = [this, i, incarnation](Micros span, std::function<Event()> what) {
             schedule(now_ + span, [this, i, incarnation, what = std::move(what)] {
                 if (nodes_[i].isRunning && nodes_[i].incarnation == incarnation) deliver(i, what());
@@ -266,7 +266,7 @@
                 later(timer->after, [token = timer->token] { return Event{TimerExpired{token}}; });
             } else if (const auto* check = std::get_if<StartHealthCheck>(&action)) {
                 const LoadReport report =
-                    reportLoad(endpointOf(check->endpoint));  // as old as the check's latency
+                    reportLoad(endpointOf(check->endpoint));  // at the start of the check
                 later(micros(uniform(0.005, 0.05)), [id = check->endpoint, report] {
                     return Event{HealthCheckCompleted{id, Outcome::Ok, 2ms, report}};
                 });
@@ -306,7 +306,7 @@
         later(30ms, [request, id] {
             return Event{ConnectionEstablished{request, AttemptIndex{0}, id, 30ms}};
         });
-        // Loads differ widely, and many connections are idle.
+        // The loads of connections differ widely, and many connections are nearly idle.
         const double load = 60'000 * std::exp(uniform(-2.5, 1.0)) * (unit() < 0.3 ? 0.1 : 1.0);
         later(50ms, [request, id, load] { return Event{ConnectionLoadMeasured{request, id, load}}; });
         later(micros(uniform(1, 4)), [this, i, request, id] {
@@ -327,7 +327,8 @@
         return endpoint.startedAt + settings_.operatingLimits.slowStartDuration;
     }
 
-    // Attempts a second: what fills it over its slow start, times the overload multiple.
+    // Attempts a second: the rate that fills the endpoint's present capacity over its slow start, times the
+    // overload multiple.
     double budgetPerSecond(const SimulatedEndpoint& endpoint, Time when) const {
         return settings_.operatingLimits.overloadMultiple * availableShare(endpoint, when) *
                endpoint.capacity / inSeconds(settings_.operatingLimits.slowStartDuration);
@@ -357,8 +358,8 @@
     RecordProperty("worstWindow", std::to_string(simulation.worstBudgetExcess()));
     RecordProperty("budgetUse", std::to_string(simulation.budgetUse()));
     EXPECT_LE(simulation.worstBudgetExcess(), 1.0)
-        << "no window has more attempts than the budget and what chance adds";
-    EXPECT_GE(simulation.budgetUse(), scenario.minimumBudgetUse) << "new endpoints are used";
+        << "a window has more attempts than the budget plus the excess that chance explains";
+    EXPECT_GE(simulation.budgetUse(), scenario.minimumBudgetUse) << "new endpoints have to be used";
 }
 
 std::string scenarioName(const testing::TestParamInfo<SlowStartFleet::ParamType>& info) {
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start of new endpoints: the connections that all nodes together send them.
+// Slow start of new endpoints: how many connections all nodes together send to them.
 #include "decision/slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -18,9 +18,9 @@
 namespace {
 
 TEST(SlowStart, AllNodesStayWithinBudgetOfEveryWindow) {
-    // An endpoint for about 100 connections starts at 0.3 of its capacity and has all of it after 9 s:
-    // filling it meanwhile takes 11 connections a second, and it takes four times its present part of that
-    // for 1.5 s.
+    // An endpoint for about 100 connections starts at 0.3 of its capacity and reaches all of it after 9 s. To
+    // fill it in that time takes 11 connections a second. In any 1.5 s the endpoint accepts four times that
+    // rate, times the part of its capacity that it has at present.
     constexpr double kConnectionsPerSecondToFill = 100.0 / 9.0;
     std::vector<Time> sent;
     for (std::uint32_t node = 0; node < 3; ++node) {
@@ -29,8 +29,8 @@
         settings.seed = 100 + node;
         DecisionEngineDriver d = makeFleet(settings, 3, 0.5);
         for (int i = 0; i < 50; ++i) {
-            d.establishConnection(
-                d.submitRequest());  // 50 from each node on 3 endpoints at 0.5: 100 fill one
+            // 50 from each node on 3 endpoints at 0.5: 100 connections fill an endpoint.
+            d.establishConnection(d.submitRequest());
         }
         d.advance(2s);
         EndpointEntry newEndpoint = endpointEntry(9);
@@ -47,7 +47,7 @@
             }
         }
     }
-    ASSERT_GT(sent.size(), 20U) << "the new endpoint is used";
+    ASSERT_GT(sent.size(), 20U) << "the new endpoint has to be used";
     for (Time from = 0s; from < 9s; from += 100ms) {
         const auto inWindow = std::count_if(sent.begin(), sent.end(),
                                             [from](Time at) { return at >= from && at < from + 1500ms; });
@@ -65,8 +65,8 @@
     return settings;
 }
 
-// What 100 nodes send within 2 s to a new endpoint that takes about 7 in a window, beside 19 others at 0.5.
-// Each node has 10 connections: 1,000 on 20 endpoints at 0.5, so 100 fill one.
+// The attempts that 100 nodes start within 2 s at a new endpoint whose budget is about 7 in a window, beside
+// 19 others at 0.5. Each node has 10 connections: 1,000 on 20 endpoints at 0.5, so 100 fill an endpoint.
 int attemptsToNewEndpoint(int requestsPerNode, Micros gap, std::uint64_t seed, double others = 0.5) {
     int sent = 0;
     for (std::uint32_t node = 0; node < 100; ++node) {
@@ -102,18 +102,20 @@
 }
 
 TEST(SlowStart, HundredNodesStayWithinBudgetDuringBurst) {
-    // It starts at 0.3 of 100 connections and has all of its capacity after 9 s; after a second it takes 4
-    // times 0.38 of 11 a second for 1.5 s: 25. By weight alone, a burst of 2,000 requests would bring 50.
+    // The new endpoint starts at 0.3 of 100 connections and reaches its full capacity after 9 s. After 1 s
+    // its budget for 1.5 s is 4 times 0.38 of 11 connections a second: 25. By weight alone, a burst of 2,000
+    // requests would send 50.
     int sent = 0;
     for (std::uint64_t run = 0; run < 4; ++run) {
         sent += attemptsToNewEndpoint(20, 10ms, 1000 * (run + 1));
     }
     EXPECT_LE(sent / 4, 25);
-    EXPECT_GE(sent / 4, 3) << "it is used even so";
+    EXPECT_GE(sent / 4, 3) << "the new endpoint has to be used";
 }
 
 TEST(SlowStart, HundredNodesWithLittleTrafficUseNewEndpoint) {
-    // One request a second at each node for 4 s: of these 400, about 8 would come by weight.
+    // Each node gets one request a second for 4 s. By weight, about 8 of these 400 would go to the new
+    // endpoint.
     EXPECT_GE(attemptsToNewEndpoint(4, 1s, 5000), 3);
 }
 
@@ -125,8 +127,8 @@
     EXPECT_LE(sent / 4, 25);
 }
 
-// The load that a hundred nodes without connections send within 2 s to an endpoint that started 2 s ago, in
-// microseconds of work a second, beside eleven others at 0.7. Each node has one request in that time.
+// The load that a hundred nodes without connections send within 2 s to an endpoint that started 2 s ago,
+// beside eleven others at 0.7, in microseconds of work a second. Each node gets one request in that time.
 double loadFromNodesWithoutConnections(double capacityUnits, std::uint64_t seed) {
     double sent = 0.0;
     for (std::uint32_t node = 0; node < 100; ++node) {
@@ -151,9 +153,11 @@
     return sent;
 }
 
-// One of many nodes has at most one connection, which says nothing of the capacity of endpoints.
+// Guards against capacity estimates from too few connections: where there are many nodes, each has at most
+// one connection.
 TEST(SlowStart, NodesWithoutConnectionsUseListedCapacity) {
-    // It takes 3 times 0.23 of its capacity over 23 s, for 2 s: with 4.5 cores that is 270,000.
+    // The budget of the new endpoint in 2 s is 3 times 0.23 of the load that fills it in 23 s: with 4.5 cores
+    // that is 270,000.
     double small = 0.0;
     double large = 0.0;
     for (std::uint64_t run = 1; run <= 20; ++run) {
@@ -185,7 +189,7 @@
     }
 }
 
-// One idle endpoint, two seconds after its start.
+// A fleet of one idle endpoint, two seconds after the endpoint's start.
 DecisionEngineDriver fleetOfOneNewEndpoint(const Settings& settings) {
     DecisionEngineDriver d{settings};
     EndpointEntry newEndpoint = endpointEntry(1);
@@ -200,15 +204,16 @@
     Settings settings = defaultSettings();
     settings.nodes = 1;
     DecisionEngineDriver d = fleetOfOneNewEndpoint(settings);
-    const RequestId heavy =
-        d.submitRequestWithLoad(5e6);  // the smallest expected endpoint, of two cores, has 2e6 in all
+    // The smallest expected endpoint has two cores, a capacity of 2e6.
+    const RequestId heavy = d.submitRequestWithLoad(5e6);
     d.advance(1s);
     EXPECT_EQ(d.attempts(heavy), 0);
     EXPECT_EQ(d.finalAnswers(heavy), 1);
-    EXPECT_EQ(d.target(d.submitRequest()), 1U) << "an ordinary request is sent";
+    EXPECT_EQ(d.target(d.submitRequest()), 1U) << "a request of typical load has to be sent";
 }
 
-// It counts as one that starts now; otherwise it would not be used until then, perhaps never.
+// Guards against an endpoint that is never used because its listed start time is in the future: it counts as
+// starting now.
 TEST(SlowStart, StartTimeInTheFutureCountsAsNow) {
     Settings settings = defaultSettings();
     settings.nodes = 1;
@@ -220,17 +225,17 @@
     for (int i = 0; i < 40; ++i) {
         d.endAttempt(d.submitRequest(), Outcome::Ok, true);
     }
-    EXPECT_EQ(d.attemptsTo(9), 0) << "no slow-start turn is due yet";
+    EXPECT_EQ(d.attemptsTo(9), 0) << "no slow-start slot is due yet";
     d.advance(4s);
     d.serveRequests(40);
     EXPECT_GE(d.attemptsTo(9), 1);
     EXPECT_LE(d.attemptsTo(9), 3);
     d.advance(6s);
     d.serveRequests(100);
-    EXPECT_GT(d.attemptsTo(9), 20) << "its slow start is over";
+    EXPECT_GT(d.attemptsTo(9), 20) << "slow start has ended";
 }
 
-// Nodes that do not know their index must not take their turns all at once.
+// Guards against nodes without an index that use the same slots and therefore send at the same time.
 TEST(SlowStart, NodesWithoutIndexDoNotSendAllAtOnce) {
     int sent = 0;
     for (std::uint32_t node = 0; node < 100; ++node) {
@@ -248,7 +253,7 @@
         sent += d.attemptsTo(9);
     }
     EXPECT_GE(sent, 1);
-    EXPECT_LE(sent, 25) << "in these 4 s it takes about ten";
+    EXPECT_LE(sent, 25) << "the budget in these 4 s is about ten";
 }
 
 TEST(SlowStart, RetriesCountTowardsBudget) {
@@ -263,7 +268,7 @@
     EXPECT_LE(d.attemptsTo(1) - before, 1);
 }
 
-// ---- slow_start by itself ----
+// ---- SlowStart without the engine ----
 
 // One of many nodes, and an endpoint 1 that started at kNow beside a warm endpoint 2.
 struct SlowStartFixture : PartsFixture {
@@ -290,7 +295,7 @@
         const DecisionContext at = context(now);
         return SlowStart{at, capacity, loads, kinds}.admits(request, endpoint(1));
     }
-    // The weights of both endpoints afterwards.
+    // Returns the adjusted weights of both endpoints.
     std::pair<double, double> adjustWeightsToSlots(double newWeight, double warmWeight,
                                                    Time now = kNow + 4s) {
         const DecisionContext at = context(now);
@@ -313,7 +318,7 @@
     return request;
 }
 
-// The turns that all nodes have together.
+// The number of open slots of all nodes together.
 double slotsOfAllNodes(std::uint32_t nodes, Time now) {
     double sum = 0.0;
     for (std::uint32_t node = 0; node < nodes; ++node)
@@ -343,7 +348,7 @@
 
 TEST(SlowStartSlots, RateFollowsWarmUpCapacityAndMultiple) {
     SlowStartFixture f;
-    // 40 cores at 40,000 a connection, half of it by caution: 500 connections, times 0.8 * 4 over 9 s.
+    // 40 cores at 40,000 a connection, of which half is used: 500 connections, times 0.8 * 4 over 9 s.
     const double whenWarm = 0.8 * 4.0 * 500 / 9;
     EXPECT_NEAR(f.slots(kNow).perSecond, 0.3 * whenWarm, 1e-6);
     EXPECT_NEAR(f.slots(kNow + 4500ms).perSecond, 0.65 * whenWarm, 1e-6);
@@ -358,12 +363,12 @@
         EXPECT_EQ(first.slots(kNow + 4s).own, same.slots(kNow + 4s).own);
         distinct.insert(first.slots(kNow + 4s).own);
     }
-    EXPECT_GT(distinct.size(), 1U) << "not all nodes at once";
+    EXPECT_GT(distinct.size(), 1U) << "the nodes have to use different slots";
 }
 
 TEST(SlowStartSlots, AdmitRequestsWhileOpen) {
     SlowStartFixture f{1};
-    EXPECT_FALSE(f.admits(requestWithLoad(std::nullopt), kNow)) << "no turn is due";
+    EXPECT_FALSE(f.admits(requestWithLoad(std::nullopt), kNow)) << "no slot is due";
     EXPECT_TRUE(f.admits(requestWithLoad(std::nullopt), kNow + 5s));
     f.endpoint(1).slowStartTurnsFrom = kNow + 5s;
     EXPECT_FALSE(f.admits(requestWithLoad(std::nullopt), kNow + 5s));
--- a/tests/decision/warm_up_test.cpp
+++ b/tests/decision/warm_up_test.cpp
@@ -1,4 +1,4 @@
-// How far an endpoint has warmed up, and its effective capacity.
+// The warm-up of an endpoint, and its effective capacity.
 #include "decision/warm_up.hpp"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
 TEST(WarmUp, StaysWithinItsBounds) {
     const OperatingLimits limits = limitsOfWarmUp(8s, 0.2);
     const Endpoint endpoint = startedAt(kNow);
-    EXPECT_DOUBLE_EQ(warmUpShare(endpoint, limits, kNow - 60s), 0.2) << "before the start";
+    EXPECT_DOUBLE_EQ(warmUpShare(endpoint, limits, kNow - 60s), 0.2) << "a time before the start";
     EXPECT_DOUBLE_EQ(warmUpShare(endpoint, limits, kNow + 3600s), 1.0);
 }
 
@@ -60,7 +60,8 @@
     endpoint.slowdown = 2.0;
     EXPECT_DOUBLE_EQ(effectiveCapacity(endpoint, settings, kNow + 2s), 0.2);
     settings.groupAffinity = true;
-    EXPECT_DOUBLE_EQ(effectiveCapacity(endpoint, settings, kNow + 2s), 0.4) << "may be due to the groups";
+    EXPECT_DOUBLE_EQ(effectiveCapacity(endpoint, settings, kNow + 2s), 0.4)
+        << "the slowdown may be due to the groups";
 }
 
 }  // namespace
--- a/tests/decision/weighted_selection_test.cpp
+++ b/tests/decision/weighted_selection_test.cpp
@@ -1,4 +1,5 @@
-// Weighted random selection in proportion to 100 minus utilisation; fresh, stale and missing load reports.
+// Weighted random selection in proportion to 100 minus the utilisation in per cent, with fresh, stale and
+// missing load reports.
 #include "decision/weighted_selection.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
 namespace ivyreel::test {
 namespace {
 
-// Submits requests that succeed at once, and returns the share of each endpoint.
+// Submits requests that succeed at once, and returns the share of the requests that each endpoint gets.
 std::map<std::uint64_t, double> shares(DecisionEngineDriver& d, int requests, bool grouped = false) {
     std::map<std::uint64_t, double> result;
     for (int i = 0; i < requests; ++i) {
@@ -25,7 +26,7 @@
 }
 
 constexpr int kRequests = 20'000;
-constexpr double kTolerance = 0.015;  // over four standard deviations of a share of 20,000
+constexpr double kTolerance = 0.015;  // over four standard deviations of a share of 20,000 requests
 
 TEST(WeightedSelection, SharesAreProportionalTo100MinusUtilisation) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), {0.50, 0.75, 0.10});
@@ -75,7 +76,7 @@
         d.deliver(HealthCheckCompleted{EndpointId{2}, Outcome::Ok, 1ms, loadReport(0.1)});
         d.advance(stale ? 1s : 3999ms);
         const auto share = shares(d, kRequests);
-        // A stale first report counts as the mean of the fresh ones, which is the second report.
+        // A stale first report is replaced by the mean of the fresh reports, which is the second report.
         EXPECT_NEAR(share.at(1), stale ? 0.5 : 30.0 / 120, kTolerance) << "stale " << stale;
     }
 }
@@ -90,7 +91,8 @@
     EXPECT_NEAR(share.at(3), 90.0 / 170, kTolerance);
 }
 
-// An endpoint at 0.6 cannot take a connection that needs half an endpoint; one at 0.2 can.
+// Guards against overload by a single connection: an endpoint at 0.6 has no spare capacity for a connection
+// that needs half an endpoint, an endpoint at 0.2 has.
 TEST(WeightedSelection, HeavyConnectionSelectsEndpointWithEnoughCapacity) {
     int fits = 0;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
@@ -100,14 +102,14 @@
         RequestArrived heavy;
         heavy.request = RequestId{5000};
         heavy.clientTimeout = 3200ms;
-        heavy.loadHint = 5.6e6;  // half of a mid-sized endpoint, which is the first assumption
+        heavy.loadHint = 5.6e6;  // half of a medium endpoint, the size assumed initially
         d.deliver(heavy);
         fits += d.target(RequestId{5000}) == 2 ? 1 : 0;
     }
     EXPECT_EQ(fits, 200);
 }
 
-// ---- weighted_selection by itself ----
+// ---- WeightedSelection without the engine ----
 
 // One node and three endpoints with fresh reports.
 struct SelectionFixture : PartsFixture {
@@ -131,7 +133,7 @@
         const SlowStart slowStart{now, capacity, loads, kinds};
         return WeightedSelection{now, fleet, slowStart, groups, arrivals}.select(request);
     }
-    // The endpoint; 0: none.
+    // The id of the selected endpoint; 0 if none is selected.
     std::uint64_t selected(const Request& request) {
         const std::optional<Selection> selection = select(request);
         return selection ? static_cast<std::uint64_t>(selection->endpoint) : 0;
@@ -184,7 +186,7 @@
         request.triedEndpoints = {EndpointId{1}, EndpointId{3}};
         EXPECT_EQ(f.selected(request), 2U);
         request.triedEndpoints = {EndpointId{1}, EndpointId{2}, EndpointId{3}};
-        EXPECT_EQ(f.selected(request), f.selected(randomRequest(i))) << "all were tried";
+        EXPECT_EQ(f.selected(request), f.selected(randomRequest(i))) << "all endpoints were tried";
     }
 }
 
