--- a/src/decision/locality_preference.cpp
+++ b/src/decision/locality_preference.cpp
@@ -7,11 +7,12 @@
 namespace ivyreel {
 namespace {
 
-// Load over capacity: up to here the own zone is preferred in full,
+// Load over capacity of the own zone up to which the preference is full.
 constexpr double kFullPreferenceBelow = 0.65;
-// or so far under the saturation threshold where that is low,
+// Minimum range below the saturation threshold in which the preference fades, in load over capacity. It
+// applies where the threshold is low.
 constexpr double kMinFadingRange = 0.05;
-// and nearer to it where the cost of crossing zones is above this.
+// Cross-zone cost above which the range is narrower, in inverse proportion to the cost.
 constexpr double kHighCrossZoneCost = 0.03;
 constexpr double kHalvingCrossZoneCost = 0.005;  // cost that halves the weight of other zones' endpoints
 
@@ -32,10 +33,10 @@
     const double cost = context.settings.crossZoneCost;
     const double fadingRange = std::max(threshold - kFullPreferenceBelow, kMinFadingRange) *
                                std::min(1.0, kHighCrossZoneCost / cost);
-    const double ownLoad = sum / count / kFullUtilisation;
-    const double faded = std::clamp((ownLoad - threshold) / fadingRange + 1.0, 0.0, 1.0);
-    const double least = kHalvingCrossZoneCost / (kHalvingCrossZoneCost + cost);
-    return least + (1.0 - least) * faded;
+    const double localLoad = sum / count / kFullUtilisation;
+    const double faded = std::clamp((localLoad - threshold) / fadingRange + 1.0, 0.0, 1.0);
+    const double minimumWeight = kHalvingCrossZoneCost / (kHalvingCrossZoneCost + cost);
+    return minimumWeight + (1.0 - minimumWeight) * faded;
 }
 
 }  // namespace ivyreel
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which failed attempts are retried, where, and until when.
+// Which failed attempts are retried, at which endpoints, and until when.
 #include "decision/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -57,7 +57,7 @@
         EXPECT_EQ((byZone.target(request) + 1) / 2, (first + 1) / 2);
         byZone.endAttempt(request, Outcome::Timeout);
         EXPECT_EQ((byZone.target(request) + 1) / 2, (first + 1) / 2)
-            << "both endpoints of the zone were tried: still the zone";
+            << "the retry stays in the zone after both endpoints of the zone were tried";
 
         DecisionEngineDriver byCell =
             makeDriver(withIdempotency(Idempotency::WithKey, DeduplicationScope::Cell), endpoints);
@@ -71,7 +71,7 @@
     }
 }
 
-TEST(RetryPolicy, RequestWithKeyThatNeverRanMayLeaveScope) {
+TEST(RetryPolicy, UnexecutedRequestWithKeyMayLeaveScope) {
     DecisionEngineDriver d = makeDriver(withIdempotency(Idempotency::WithKey, DeduplicationScope::Cell),
                                         {endpointEntry(1, 0, 1), endpointEntry(2, 0, 2)});
     const RequestId request = d.submitRequest();
@@ -91,7 +91,8 @@
     EXPECT_EQ(d.finalAnswers(request), 1);
 }
 
-// Its connection is established after the window: the endpoints no longer know the idempotency key.
+// Guards against a second execution: if the connection is established after the window, the endpoints no
+// longer know the idempotency key.
 TEST(RetryPolicy, AttemptIsInvalidAfterDeduplicationWindow) {
     Settings settings = withIdempotency(Idempotency::WithKey, DeduplicationScope::All);
     settings.classes[0].deduplicationWindow = 1s;
@@ -131,7 +132,7 @@
     EXPECT_FALSE(d.isStillValid(request));
 }
 
-// The scope is remembered from the time of the attempt.
+// Guards against losing the deduplication scope when the first endpoint leaves the list.
 TEST(RetryPolicy, RetryStaysInScopeOfEndpointThatLeft) {
     for (const DeduplicationScope scope : {DeduplicationScope::Zone, DeduplicationScope::Cell}) {
         DecisionEngineDriver d =
@@ -147,7 +148,7 @@
     }
 }
 
-TEST(RetryPolicy, RequestWithKeyThatMayHaveRunIsRejectedOnlyIfScopeIsAll) {
+TEST(RetryPolicy, RequestWithKeyThatMayHaveExecutedIsRejectedOnlyIfScopeIsAll) {
     for (const DeduplicationScope scope :
          {DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell}) {
         Settings settings = withIdempotency(Idempotency::WithKey, scope);
@@ -179,7 +180,7 @@
     EXPECT_EQ(d.failures(request), 1);
 }
 
-// ---- retry_policy by itself ----
+// ---- retry policy without the engine ----
 
 // A request that an attempt may have executed.
 Request executedRequest(Idempotency idempotency, DeduplicationScope scope = DeduplicationScope::All) {
@@ -209,7 +210,7 @@
     }
 }
 
-TEST(RetryPolicy, SmallerAttemptLimitCounts) {
+TEST(RetryPolicy, SmallerAttemptLimitApplies) {
     Request request;
     request.maxAttempts = 3;
     RequestLimits limits;
@@ -234,7 +235,7 @@
     EXPECT_FALSE(mayRetry(executedRequest(Idempotency::NonIdempotent), settings, kNow));
 }
 
-TEST(RetryPolicy, WhatNeverExecutedIsNotRestricted) {
+TEST(RetryPolicy, UnexecutedRequestIsNotRestricted) {
     Request request = executedRequest(Idempotency::NonIdempotent, DeduplicationScope::Cell);
     request.mayHaveExecuted = false;
     EXPECT_TRUE(mayRetry(request, defaultSettings(), kNow + 3600s));
@@ -264,15 +265,16 @@
     EXPECT_FALSE(mayReject(executedRequest(Idempotency::WithKey, DeduplicationScope::Zone)));
 }
 
-TEST(RetryPolicy, LastMomentLeavesTimeForTheTimerAndTheResolution) {
+TEST(RetryPolicy, FinalAnswerDeadlineAllowsForTimerAndEventResolution) {
     Settings settings = defaultSettings();
     settings.resolution = 50ms;
     Request request;
     request.deadline = kNow;
-    EXPECT_EQ(lastMoment(request, settings), kNow - 100ms);
+    EXPECT_EQ(finalAnswerDeadline(request, settings), kNow - 100ms);
 }
 
-// The timeout of an attempt that starts so long after the arrival; the objective is 800 ms, the deadline 3 s.
+// The timeout of an attempt that starts `elapsed` after the arrival. The latency objective is 800 ms, the
+// deadline 3 s.
 Micros timeoutAfter(Micros elapsed, int attempts = 1, double meanSetupMicros = 0.0,
                     Idempotency idempotency = Idempotency::Idempotent) {
     Request request;
@@ -288,19 +290,19 @@
     return attemptTimeout(request, limits, meanSetupMicros, kNow + elapsed);
 }
 
-TEST(RetryPolicy, AttemptGetsHalfOfWhatIsLeft) {
+TEST(RetryPolicy, AttemptTimeoutIsHalfOfRemainingTime) {
     EXPECT_EQ(timeoutAfter(0ms), 400ms);
-    EXPECT_EQ(timeoutAfter(600ms), 250ms) << "the connect timeout at least";
-    EXPECT_EQ(timeoutAfter(1s), 1s) << "past the objective the deadline counts";
-    EXPECT_EQ(timeoutAfter(0ms, 1, 200'000), 600ms) << "three times the usual setup time at least";
+    EXPECT_EQ(timeoutAfter(600ms), 250ms) << "no less than the connect timeout";
+    EXPECT_EQ(timeoutAfter(1s), 1s) << "half of the time until the deadline, as the objective has passed";
+    EXPECT_EQ(timeoutAfter(0ms, 1, 200'000), 600ms) << "no less than three times the usual setup time";
 }
 
-TEST(RetryPolicy, AttemptNeverOutlastsTheDeadline) {
+TEST(RetryPolicy, AttemptTimeoutNeverExceedsDeadline) {
     EXPECT_EQ(timeoutAfter(2900ms), 100ms);
     EXPECT_EQ(timeoutAfter(0ms, 1, 1e9), 3s);
 }
 
-TEST(RetryPolicy, LastAttemptGetsAllThatIsLeft) {
+TEST(RetryPolicy, LastAttemptTimeoutExtendsToDeadline) {
     EXPECT_EQ(timeoutAfter(0ms, 4), 3s);
     EXPECT_EQ(timeoutAfter(0ms, 1, 0.0, Idempotency::NonIdempotent), 3s);
 }
