--- a/src/decision/connection_load.cpp
+++ b/src/decision/connection_load.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kInitialLoad = 40'000;    // microseconds of work a second: 25 connections a core
-constexpr double kSmoothing = 0.05;        // weight of one load in a mean: loads differ widely
+constexpr double kSmoothingFactor = 0.05;  // weight of one load in a mean: loads differ widely
 constexpr double kPriorArrivals = 4.0;     // that the initial typical load counts as
 constexpr double kOutlierMultiple = 10.0;  // of the mean: a load above it counts as so much
 
@@ -25,7 +25,7 @@
 
 void ConnectionLoadEstimate::recordArrival(double load) {
     ++arrivals_;
-    const double weight = std::max(kSmoothing, 1.0 / (arrivals_ + kPriorArrivals));
+    const double weight = std::max(kSmoothingFactor, 1.0 / (arrivals_ + kPriorArrivals));
     typical_ += (std::min(load, kOutlierMultiple * typical_) - typical_) * weight;
 }
 
@@ -34,7 +34,7 @@
     if (index >= meanByClass_.size()) return;
     double& mean = meanByClass_[index];
     if (mean <= 0.0) mean = kInitialLoad;  // the first one alone tells little
-    mean += (std::min(load, kOutlierMultiple * mean) - mean) * kSmoothing;
+    mean += (std::min(load, kOutlierMultiple * mean) - mean) * kSmoothingFactor;
 }
 
 void ConnectionLoadEstimate::store(LearnedFleetState& learned) const {
@@ -45,7 +45,7 @@
 void ConnectionLoadEstimate::restore(const LearnedFleetState& learned) {
     typical_ = learned.typicalLoad;
     meanByClass_ = learned.meanLoadByClass;
-    arrivals_ = 1.0 / kSmoothing;
+    arrivals_ = 1.0 / kSmoothingFactor;
 }
 
 }  // namespace ivyreel
--- a/src/decision/endpoint.hpp
+++ b/src/decision/endpoint.hpp
@@ -27,11 +27,11 @@
 };
 
 struct HealthCheckState {
-    Time confirmAt{Time::max()};  // time of a further check, while the endpoint is in doubt
-    Time startedAt{0};            // of the last one
-    double phase = 0.0;           // part of the interval until the next steady check; 0 before the first
+    Time extraCheckAt{Time::max()};  // time of a further check, while the endpoint is in doubt
+    Time startedAt{0};               // of the last one
+    double intervalFactor = 0.0;     // part of the interval until the next steady check; 0 before the first
     bool outstanding = false;
-    int unanswered = 0;  // in a row that brought nothing back at all
+    int consecutiveUnanswered = 0;  // in a row that brought nothing back at all
 };
 
 // Invariants: ownLoad is 0 while ownConnections is 0; recentSends are in the order of their times.
--- a/src/decision/endpoint_supervision.cpp
+++ b/src/decision/endpoint_supervision.cpp
@@ -32,7 +32,7 @@
 
 void startDueHealthChecks(DecisionState& state, Step step) {
     if (!state.settings.limits.healthChecks) return;
-    const std::optional<Micros> interval = steadyHealthCheckInterval(
+    const std::optional<Micros> interval = periodicHealthCheckInterval(
         state.endpoints.size(), state.arrivals.perSecond(step.now), state.settings.nodes);
     for (Endpoint& endpoint : state.endpoints)
         if (isHealthCheckDue(endpoint, interval, step.now)) startHealthCheck(state, endpoint, step);
@@ -51,8 +51,8 @@
     const OperatingLimits& limits = state.settings.operatingLimits;
     learnSlowdown(endpoint, fleet.capacityPerLoad, warmUpShare(endpoint, limits, step.now),
                   state.settings.nodes);
-    const bool tellsConnections = report.activeRequests && report.loadOverCapacity;
-    if (tellsConnections && !isWarmingUp(endpoint, limits, step.now) &&
+    const bool reportsConnections = report.activeRequests && report.loadOverCapacity;
+    if (reportsConnections && !isWarmingUp(endpoint, limits, step.now) &&
         !isSlow(endpoint, state.settings.groupAffinity))
         state.kinds.recordReport(endpoint, state.endpoints.relativeSize(endpoint));
     relieveOverload(state, endpoint, step);
--- a/src/decision/fleet_capacity_estimate.cpp
+++ b/src/decision/fleet_capacity_estimate.cpp
@@ -24,8 +24,8 @@
     connectionSeconds_ = connectionSeconds_ * decay + std::max(sample.ownConnections, 0) * spanSeconds;
 }
 
-double FleetCapacityEstimate::typicalCapacity(double guess, double meanListedSize) const {
-    const double listed = meanListedSize > 0.0 ? meanListedSize * kCore : guess;
+double FleetCapacityEstimate::typicalCapacity(double defaultCapacity, double meanListedSize) const {
+    const double listed = meanListedSize > 0.0 ? meanListedSize * kCore : defaultCapacity;
     const double confidence = connectionSeconds_ / (connectionSeconds_ + kPriorConnectionSeconds);
     const double learned = loadSeconds_ > 0.0 ? workSeconds_ / loadSeconds_ : listed;
     const double capacity = learned * confidence + listed * (1.0 - confidence);
--- a/src/decision/fleet_capacity_estimate.hpp
+++ b/src/decision/fleet_capacity_estimate.hpp
@@ -9,7 +9,7 @@
 
 inline constexpr double kMinCapacity = 2e6;  // microseconds of work a second: two cores, the least endpoint
 // Where nothing tells the size: the geometric mean of the least and the largest.
-inline constexpr double kMediumCapacity = 11e6;
+inline constexpr double kDefaultCapacity = 11e6;
 
 // What the endpoints with fresh reports show together.
 struct FleetLoadSample {
@@ -27,7 +27,7 @@
     // was seen it is the mean listed size, in cores, or `guess` where that is 0. Prevents that a node goes by
     // a moment in which it has little load: others restart, itself has, or of hundreds it holds a connection
     // or two.
-    double typicalCapacity(double guess, double meanListedSize) const;
+    double typicalCapacity(double defaultCapacity, double meanListedSize) const;
 
     void store(LearnedFleetState& learned) const;
     void restore(const LearnedFleetState& learned);
--- a/src/decision/fleet_snapshot.cpp
+++ b/src/decision/fleet_snapshot.cpp
@@ -25,8 +25,8 @@
     double ownLoadOfFresh = 0.0;  // shown by fresh reports
     double activeRequests = 0.0;
     int ownConnections = 0;
-    int fresh = 0;    // endpoints with a fresh report
-    int unknown = 0;  // usable ones without
+    int freshReports = 0;
+    int usableWithoutFreshReport = 0;
     int recentSends = 0;
 };
 
@@ -44,7 +44,7 @@
     totals.ownLoad += ownLoad;
     const bool usable = context.endpoints.isUsable(endpoint);
     if (!hasFreshReport(endpoint, context.now)) {
-        totals.unknown += usable ? 1 : 0;
+        totals.usableWithoutFreshReport += usable ? 1 : 0;
         return;
     }
     if (usable)
@@ -55,10 +55,10 @@
     totals.ownLoadOfFresh += ownLoad;
     totals.ownConnections += endpoint.ownConnections - static_cast<int>(endpoint.recentSends.size());
     totals.activeRequests += endpoint.activeRequests;
-    ++totals.fresh;
+    ++totals.freshReports;
 }
 
-FleetTotals sumUp(const DecisionContext& context) {
+FleetTotals computeTotals(const DecisionContext& context) {
     FleetTotals totals;
     for (const Endpoint& endpoint : context.endpoints) {
         if (!endpoint.listed) continue;
@@ -73,7 +73,8 @@
 double workOfAllNodes(const FleetTotals& totals, std::uint32_t nodes) {
     if (totals.activeRequests > 0 && totals.ownConnections > 0)
         return totals.activeRequests * totals.ownLoadOfFresh / totals.ownConnections;
-    return totals.ownLoad * nodes * totals.fresh / std::max(totals.fresh + totals.unknown, 1);
+    return totals.ownLoad * nodes * totals.freshReports /
+           std::max(totals.freshReports + totals.usableWithoutFreshReport, 1);
 }
 
 }  // namespace
@@ -83,18 +84,19 @@
     outdated_ = false;
     const Micros elapsed = context.now - std::exchange(computedAt_, context.now);
     const double span = std::clamp(seconds(elapsed), 0.0, kMaxSampleSeconds);
-    const FleetTotals totals = sumUp(context);
+    const FleetTotals totals = computeTotals(context);
     snapshot_.sendRate = sendRate_.measure(context.now, arrivals.perSecond(context.now));
     snapshot_.recentSendCount = totals.recentSends;
     snapshot_.departedLoad = totals.departedLoad;
-    snapshot_.meanUtilisation = totals.fresh > 0 ? totals.utilisation / totals.fresh : kUnknownUtilisation;
+    snapshot_.meanUtilisation =
+        totals.freshReports > 0 ? totals.utilisation / totals.freshReports : kUnknownUtilisation;
     snapshot_.spareUtilisation = totals.spareUtilisation;
-    snapshot_.spareUtilisation +=
-        totals.unknown * spareUtilisation(snapshot_.meanUtilisation, context.saturationThreshold);
+    snapshot_.spareUtilisation += totals.usableWithoutFreshReport *
+                                  spareUtilisation(snapshot_.meanUtilisation, context.saturationThreshold);
     const double work = workOfAllNodes(totals, context.settings.nodes);
     capacity_.add({work, totals.load, totals.ownConnections}, span);
     snapshot_.capacityPerLoad =
-        1.0 / capacity_.typicalCapacity(kMediumCapacity, context.endpoints.meanListedSize());
+        1.0 / capacity_.typicalCapacity(kDefaultCapacity, context.endpoints.meanListedSize());
     return snapshot_;
 }
 
--- a/src/decision/fleet_snapshot.hpp
+++ b/src/decision/fleet_snapshot.hpp
@@ -23,7 +23,7 @@
     double sendRate = 0.0;          // load that this node sends a second
     int recentSendCount = 0;        // its sends of the last moments
     double capacityPerLoad =
-        1.0 / kMediumCapacity;  // part of an endpoint's capacity that one unit of load takes
+        1.0 / kDefaultCapacity;  // part of an endpoint's capacity that one unit of load takes
 };
 
 class FleetMonitor {
--- a/src/decision/health_check_schedule.cpp
+++ b/src/decision/health_check_schedule.cpp
@@ -18,11 +18,11 @@
 constexpr double kLateMarginMicros = 2'000;  // and so little is chance
 constexpr double kRoundTripWeight = 0.4;     // of one check in the mean round trip
 
-void recordAnswer(Endpoint& endpoint, double roundTripMicros, bool confirmLate, Time now) {
+void recordAnswer(Endpoint& endpoint, double roundTripMicros, bool confirmIfLate, Time now) {
     endpoint.healthCheckFailures = 0;
     const bool first = endpoint.roundTripMicros <= 0.0;
     const double limit = kLateMultiple * endpoint.roundTripMicros + kLateMarginMicros;
-    if (!first && roundTripMicros > limit && confirmLate) scheduleConfirmation(endpoint, now);
+    if (!first && roundTripMicros > limit && confirmIfLate) scheduleConfirmation(endpoint, now);
     endpoint.roundTripMicros +=
         (roundTripMicros - endpoint.roundTripMicros) * (first ? 1.0 : kRoundTripWeight);
     recordAnsweredHealthCheck(endpoint);
@@ -34,39 +34,42 @@
     return nodes * kMinInterval <= kMaxInterval;
 }
 
-std::optional<Micros> steadyHealthCheckInterval(std::size_t endpoints, double arrivalsPerSecond,
-                                                std::uint32_t nodes) {
+std::optional<Micros> periodicHealthCheckInterval(std::size_t endpoints, double arrivalsPerSecond,
+                                                  std::uint32_t nodes) {
     const double checksPerSecond = kChecksPerRequest * arrivalsPerSecond;
     const double interval = static_cast<double>(endpoints) / checksPerSecond;
     if (interval <= seconds(kMaxInterval)) return std::max(kMinInterval, scaled(1s, interval));
     return isSmallFleet(nodes) ? std::optional(kMaxInterval) : std::nullopt;
 }
 
-bool isHealthCheckDue(const Endpoint& endpoint, std::optional<Micros> steadyInterval, Time now) {
+bool isHealthCheckDue(const Endpoint& endpoint, std::optional<Micros> periodicInterval, Time now) {
     const HealthCheckState& check = endpoint.healthCheck;
     if (!endpoint.listed || check.outstanding) return false;
-    if (now >= check.confirmAt) return true;
-    const bool steady = steadyInterval || endpoint.ownConnections > 0 || endpoint.healthCheckFailures > 0;
-    if (!steady) return false;
-    const Time dueAt = check.startedAt + scaled(steadyInterval.value_or(kMaxInterval), check.phase);
-    return check.phase == 0.0 || now >= dueAt;
+    if (now >= check.extraCheckAt) return true;
+    const bool isPeriodic =
+        periodicInterval || endpoint.ownConnections > 0 || endpoint.healthCheckFailures > 0;
+    if (!isPeriodic) return false;
+    const Time dueAt =
+        check.startedAt + scaled(periodicInterval.value_or(kMaxInterval), check.intervalFactor);
+    return check.intervalFactor == 0.0 || now >= dueAt;
 }
 
 void recordHealthCheckStart(Endpoint& endpoint, Time now, SplitMix64& random) {
     HealthCheckState& check = endpoint.healthCheck;
-    check.phase = check.phase == 0.0 ? 0.5 + random.next() : 1.0;
-    check.confirmAt = Time::max();
+    check.intervalFactor = check.intervalFactor == 0.0 ? 0.5 + random.next() : 1.0;
+    check.extraCheckAt = Time::max();
     check.startedAt = now;
     check.outstanding = true;
 }
 
 void scheduleConfirmation(Endpoint& endpoint, Time now) {
     if (endpoint.healthCheckFailures > kUnhealthyAfterFailures) return;
-    endpoint.healthCheck.confirmAt = now + kConfirmationInterval;
+    endpoint.healthCheck.extraCheckAt = now + kConfirmationInterval;
 }
 
 void scheduleImmediateCheck(Endpoint& endpoint, Time now) {
-    if (now - endpoint.healthCheck.startedAt >= kConfirmationInterval) endpoint.healthCheck.confirmAt = now;
+    if (now - endpoint.healthCheck.startedAt >= kConfirmationInterval)
+        endpoint.healthCheck.extraCheckAt = now;
 }
 
 void recordHealthCheckResult(Endpoint& endpoint, const HealthCheckCompleted& result, const Settings& settings,
@@ -76,7 +79,7 @@
     const bool unanswered =
         result.outcome == Outcome::Timeout ||
         (result.outcome == Outcome::ConnectFailed && result.elapsed >= settings.limits.connectTimeout);
-    check.unanswered = unanswered ? check.unanswered + 1 : 0;
+    check.consecutiveUnanswered = unanswered ? check.consecutiveUnanswered + 1 : 0;
     if (result.outcome == Outcome::Ok) {
         const auto roundTripMicros = static_cast<double>(result.elapsed.count());
         recordAnswer(endpoint, roundTripMicros, isSmallFleet(settings.nodes), now);
--- a/src/decision/health_check_schedule.hpp
+++ b/src/decision/health_check_schedule.hpp
@@ -18,13 +18,13 @@
 bool isSmallFleet(std::uint32_t nodes);
 
 // The interval at which all endpoints can be checked for a few checks a request; none if that is too long.
-std::optional<Micros> steadyHealthCheckInterval(std::size_t endpoints, double arrivalsPerSecond,
-                                                std::uint32_t nodes);
+std::optional<Micros> periodicHealthCheckInterval(std::size_t endpoints, double arrivalsPerSecond,
+                                                  std::uint32_t nodes);
 
 // Departure, health checks on demand: a node that sees a small part of the traffic of a large fleet (it has
 // no steady interval) checks steadily where it has connections, and the others when a selection needs their
 // load. Prevents that health checks outnumber requests by hundreds and take the endpoints' capacity.
-bool isHealthCheckDue(const Endpoint& endpoint, std::optional<Micros> steadyInterval, Time now);
+bool isHealthCheckDue(const Endpoint& endpoint, std::optional<Micros> periodicInterval, Time now);
 
 void recordHealthCheckStart(Endpoint& endpoint, Time now, SplitMix64& random);
 
--- a/src/decision/kind_capacity.cpp
+++ b/src/decision/kind_capacity.cpp
@@ -17,13 +17,14 @@
     sums.load += endpoint.load * relativeSize - sums.load * kReportWeight;
 }
 
-double KindCapacityEstimate::connectionsAtCapacity(KindIndex kind, double relativeSize, double guess) const {
-    double least = guess;
+double KindCapacityEstimate::connectionsAtCapacity(KindIndex kind, double relativeSize,
+                                                   double defaultConnections) const {
+    double minimum = defaultConnections;
     for (const auto& [other, sums] : sums_)
-        if (sums.load >= kPriorLoad) least = std::min(least, sums.connections / sums.load);
+        if (sums.load >= kPriorLoad) minimum = std::min(minimum, sums.connections / sums.load);
     const auto known = sums_.find(kind);
     const Sums sums = known == sums_.end() ? Sums{} : known->second;
-    return relativeSize * (sums.connections + least * kPriorLoad) / (sums.load + kPriorLoad);
+    return relativeSize * (sums.connections + minimum * kPriorLoad) / (sums.load + kPriorLoad);
 }
 
 }  // namespace ivyreel
--- a/src/decision/kind_capacity.hpp
+++ b/src/decision/kind_capacity.hpp
@@ -15,7 +15,7 @@
 
     // Of an endpoint of this size and kind. Of a kind that is little known: as many as the least of the
     // others, and no more than `guess`.
-    double connectionsAtCapacity(KindIndex kind, double relativeSize, double guess) const;
+    double connectionsAtCapacity(KindIndex kind, double relativeSize, double defaultConnections) const;
 
   private:
     struct Sums {
--- a/src/decision/load_polling.cpp
+++ b/src/decision/load_polling.cpp
@@ -9,7 +9,7 @@
 
 constexpr Micros kAnswerTimeout =
     150ms;  // several round trips; an endpoint that answers later is passed over
-constexpr std::size_t kPollsPerRequest = 4;  // over nine in ten selections end before
+constexpr std::size_t kMaxPollsPerRequest = 4;  // over nine in ten selections end before
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     if (isLoadKnown(endpoint, settings, now)) return false;
     const HealthCheckState& check = endpoint.healthCheck;
     if (wasPolledFor(request, endpoint)) return check.outstanding && now < request.polledAt + kAnswerTimeout;
-    if (request.polledEndpoints.size() >= kPollsPerRequest) return false;
+    if (request.polledEndpoints.size() >= kMaxPollsPerRequest) return false;
     return !check.outstanding || now < check.startedAt + kAnswerTimeout;
 }
 
--- a/src/decision/load_polling.hpp
+++ b/src/decision/load_polling.hpp
@@ -13,9 +13,9 @@
 
 // Whether the endpoint's load is known as well as a poll could tell it.
 inline bool isLoadKnown(const Endpoint& endpoint, const Settings& settings, Time now) {
-    constexpr Micros kKnownFor = std::chrono::seconds(2);  // two of the draft's report intervals
+    constexpr Micros kMaxReportAge = std::chrono::seconds(2);  // two of the draft's report intervals
     const bool pollable = settings.limits.healthChecks && settings.loadReportMode != LoadReportMode::None;
-    return !pollable || (endpoint.reported && now - endpoint.reportedAt < kKnownFor);
+    return !pollable || (endpoint.reported && now - endpoint.reportedAt < kMaxReportAge);
 }
 
 inline bool wasPolledFor(const Request& request, const Endpoint& endpoint) {
--- a/src/decision/migration.cpp
+++ b/src/decision/migration.cpp
@@ -15,12 +15,14 @@
 
 constexpr double kReliefMargin =
     0.05;  // load over capacity: endpoints are relieved so far under the threshold
-constexpr double kSlowRemainder = 0.5;  // of the threshold: a slow endpoint keeps so much, it may get slower
-constexpr Micros kSettleTime = 2s;      // a migration shows in reports after the gap, a report and its lag
-constexpr int kSilentAfter = 2;         // unanswered health checks
+constexpr double kSlowTargetShare =
+    0.5;                            // of the threshold: a slow endpoint keeps so much, it may get slower
+constexpr Micros kSettleTime = 2s;  // a migration shows in reports after the gap, a report and its lag
+constexpr int kMaxUnansweredHealthChecks = 2;  // unanswered health checks
 constexpr double kEvacuatedShare =
-    0.5;                              // of an endpoint's connections a pass: most within a third of a second
-constexpr double kDrainMargin = 4.0;  // times what drains: of a release the list tells only the beginning
+    0.5;  // of an endpoint's connections a pass: most within a third of a second
+constexpr double kDrainCapacityMultiple =
+    4.0;  // times what drains: of a release the list tells only the beginning
 
 // Load over capacity, weighted by effective capacity, that the other usable endpoints can take; those without
 // a fresh report are taken to be like the rest.
@@ -40,14 +42,14 @@
     return spare;
 }
 
-bool canTakeConnections(const DecisionContext& context) {
+bool anyEndpointAcceptsConnections(const DecisionContext& context) {
     const double limit = kFullUtilisation * context.saturationThreshold.withTolerance();
     return std::any_of(context.endpoints.begin(), context.endpoints.end(), [&](const Endpoint& endpoint) {
         return context.endpoints.isUsable(endpoint) && endpoint.utilisation < limit;
     });
 }
 
-bool isAmpleForDraining(const DecisionContext& context, const FleetSnapshot& fleet) {
+bool hasCapacityToDrain(const DecisionContext& context, const FleetSnapshot& fleet) {
     if (std::none_of(context.endpoints.begin(), context.endpoints.end(), isDraining)) return true;
     const UtilisationEstimate utilisation(context, fleet);
     const double full = kFullUtilisation * context.saturationThreshold.value();
@@ -62,7 +64,7 @@
             spare += std::max(0.0, full - utilisation.reported(endpoint)) *
                      effectiveCapacity(endpoint, context.settings, context.now);
     }
-    return spare >= kDrainMargin * draining;
+    return spare >= kDrainCapacityMultiple * draining;
 }
 
 }  // namespace
@@ -74,11 +76,12 @@
     if (endpoint.ownConnections == 0) return {};
     const double spare = spareCapacityOfOthers(endpoint, context);
     const bool slow = isSlow(endpoint, context.settings.groupAffinity);
-    const double target = slow ? threshold.value() * kSlowRemainder : threshold.value() - kReliefMargin;
-    const double wanted = endpoint.ownLoad * (endpoint.load - target) / endpoint.load;
-    const double least = endpoint.ownLoad * (endpoint.load - threshold.value()) / endpoint.load;
-    const double ownPartOfSpare = spare / fleet.capacityPerLoad / static_cast<double>(context.settings.nodes);
-    return std::max(least, std::min(wanted, ownPartOfSpare));
+    const double target = slow ? threshold.value() * kSlowTargetShare : threshold.value() - kReliefMargin;
+    const double desired = endpoint.ownLoad * (endpoint.load - target) / endpoint.load;
+    const double minimum = endpoint.ownLoad * (endpoint.load - threshold.value()) / endpoint.load;
+    const double ownShareOfSpare =
+        spare / fleet.capacityPerLoad / static_cast<double>(context.settings.nodes);
+    return std::max(minimum, std::min(desired, ownShareOfSpare));
 }
 
 Micros migrationPause(const Endpoint& endpoint, const Settings& settings) {
@@ -87,13 +90,14 @@
 
 Evacuation::Evacuation(const DecisionContext& context, const FleetSnapshot& fleet)
     : context_(context),
-      possible_(canTakeConnections(context)),
-      ampleForDraining_(possible_ && isAmpleForDraining(context, fleet)) {}
+      canMigrate_(anyEndpointAcceptsConnections(context)),
+      canDrain_(canMigrate_ && hasCapacityToDrain(context, fleet)) {}
 
 std::optional<double> Evacuation::loadToMigrate(const Endpoint& endpoint) const {
-    if (!possible_ || !endpoint.listed || endpoint.ownConnections == 0) return {};
-    if (endpoint.healthCheck.unanswered > kSilentAfter) return endpoint.ownLoad * kEvacuatedShare;
-    if (!isDraining(endpoint) || !ampleForDraining_) return {};
+    if (!canMigrate_ || !endpoint.listed || endpoint.ownConnections == 0) return {};
+    if (endpoint.healthCheck.consecutiveUnanswered > kMaxUnansweredHealthChecks)
+        return endpoint.ownLoad * kEvacuatedShare;
+    if (!isDraining(endpoint) || !canDrain_) return {};
     return endpoint.ownLoad * seconds(endpointTimerInterval(context_.settings)) / seconds(kSettleTime);
 }
 
@@ -106,10 +110,10 @@
     std::sort(connections.begin(), connections.end());
     std::vector<RequestId> result;
     for (const auto& [group, id] : connections) {
-        const double ofConnection = requests.find(id)->load;
+        const double connectionLoad = requests.find(id)->load;
         // The last one by chance, so that the sum over many nodes with a part each is right.
-        if (load < ofConnection * random.next()) break;
-        load -= ofConnection;
+        if (load < connectionLoad * random.next()) break;
+        load -= connectionLoad;
         result.push_back(id);
     }
     return result;
--- a/src/decision/migration.hpp
+++ b/src/decision/migration.hpp
@@ -37,8 +37,8 @@
 
   private:
     const DecisionContext& context_;
-    bool possible_;
-    bool ampleForDraining_;
+    bool canMigrate_;
+    bool canDrain_;
 };
 
 // This node's connections at the endpoint that make up the load, in the order of their groups.
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -10,9 +10,9 @@
 constexpr double kMaxSlowdown = 10.0;       // a tenth of the typical capacity: less is idle
 constexpr double kNegligibleLoad = 0.15;    // load over capacity: so little tells nothing of a slowdown
 constexpr double kNegligibleSetupMicros = 5'000;
-constexpr double kUsualSetupMultiple = 2.0;  // of the mean: bursts alone make it so much
-constexpr double kSetupTimeWeight = 0.05;    // of one set-up in the means
-constexpr double kRoundTripsOfSetup = 2.0;
+constexpr double kTypicalSetupMultiple = 2.0;  // of the mean: bursts alone make it so much
+constexpr double kSetupTimeWeight = 0.05;      // of one set-up in the means
+constexpr double kRoundTripsPerSetup = 2.0;
 
 }  // namespace
 
@@ -51,11 +51,11 @@
 }
 
 void SetupTimeEstimate::learnSetupSlowdown(Endpoint& endpoint, Micros elapsed) {
-    const double roundTrips = kRoundTripsOfSetup * endpoint.roundTripMicros;
+    const double roundTrips = kRoundTripsPerSetup * endpoint.roundTripMicros;
     const double setup = std::max(0.0, static_cast<double>(elapsed.count()) - roundTrips);
-    const double usual = kUsualSetupMultiple * typicalMicros_ + kNegligibleSetupMicros;
-    typicalMicros_ += (std::min(setup, usual) - typicalMicros_) * kSetupTimeWeight;
-    const double ratio = (setup + kNegligibleSetupMicros) / usual;
+    const double upperBound = kTypicalSetupMultiple * typicalMicros_ + kNegligibleSetupMicros;
+    typicalMicros_ += (std::min(setup, upperBound) - typicalMicros_) * kSetupTimeWeight;
+    const double ratio = (setup + kNegligibleSetupMicros) / upperBound;
     endpoint.setupSlowdown +=
         (std::clamp(ratio, 1.0, kMaxSlowdown) - endpoint.setupSlowdown) * kSlowdownWeight;
 }
--- a/src/decision/send_rate.cpp
+++ b/src/decision/send_rate.cpp
@@ -11,7 +11,7 @@
 
 constexpr Micros kMinWindow = 2s;
 constexpr Micros kMaxWindow = 10s;
-constexpr double kSendsOfWindow = 4.0;  // fewer tell nothing of the rate
+constexpr double kMinSendsInWindow = 4.0;  // fewer tell nothing of the rate
 
 }  // namespace
 
@@ -20,9 +20,9 @@
 }
 
 double SendRate::measure(Time now, double arrivalsPerSecond) {
-    const double leastRate = kSendsOfWindow / seconds(kMaxWindow);
-    const double spanOfSends = kSendsOfWindow / std::max(arrivalsPerSecond, leastRate);
-    const double window = std::max(seconds(kMinWindow), spanOfSends);
+    const double minRate = kMinSendsInWindow / seconds(kMaxWindow);
+    const double secondsForMinSends = kMinSendsInWindow / std::max(arrivalsPerSecond, minRate);
+    const double window = std::max(seconds(kMinWindow), secondsForMinSends);
     std::erase_if(sends_, [now](const RecentSend& send) { return send.sentAt <= now - kMaxWindow; });
     double load = 0.0;
     for (const RecentSend& send : sends_)
--- a/tests/decision/arrival_rate_test.cpp
+++ b/tests/decision/arrival_rate_test.cpp
@@ -42,7 +42,7 @@
     EXPECT_NEAR(rate.perSecond(kNow), 1.0 + 30 / 10.0, 1e-9);
 }
 
-TEST(ArrivalRate, IsRestoredAsItWasWhenStored) {
+TEST(ArrivalRate, RestoresTheStoredRate) {
     ArrivalRate rate;
     rate.start(kNow);
     rate.recordArrival(kNow);
--- a/tests/decision/connection_load_test.cpp
+++ b/tests/decision/connection_load_test.cpp
@@ -61,7 +61,7 @@
     EXPECT_DOUBLE_EQ(estimate.typical(), kInitialLoad * (1.0 + 0.2 * 9.0));
 }
 
-TEST(ConnectionLoadEstimate, TypicalLoadStartsFromAPrior) {
+TEST(ConnectionLoadEstimate, InitialTypicalLoadHasTheWeightOfFourArrivals) {
     ConnectionLoadEstimate estimate;
     EXPECT_EQ(estimate.typical(), kInitialLoad);
     estimate.recordArrival(90'000);
@@ -71,14 +71,14 @@
     EXPECT_NEAR(estimate.typical(), 90'000, 1.0);
 }
 
-TEST(ConnectionLoadEstimate, NeverForgetsClasses) {
+TEST(ConnectionLoadEstimate, KeepsMeansWhenClassCountShrinks) {
     ConnectionLoadEstimate estimate = estimateWithClasses(3);
     estimate.recordMeasurement(RequestClassIndex{2}, 80'000);
     estimate.setClassCount(1);
     EXPECT_DOUBLE_EQ(estimate.expected(requestOf(2)), 42'000);
 }
 
-TEST(ConnectionLoadEstimate, RestoredEstimateNeedsNoPrior) {
+TEST(ConnectionLoadEstimate, RestoredTypicalLoadReplacesTheInitialOne) {
     LearnedFleetState learned;
     learned.typicalLoad = 100'000;
     learned.meanLoadByClass = {70'000};
--- a/tests/decision/decision_digest_test.cpp
+++ b/tests/decision/decision_digest_test.cpp
@@ -174,7 +174,7 @@
 }
 
 void expectRecorded(const ExpectedCase& expected) {
-    const GeneratedResult result = play(expected.generated);
+    const GeneratedResult result = runGeneratedCase(expected.generated);
     EXPECT_EQ(result.digest, expected.digest) << expected.generated.name << std::hex << ": now 0x"
                                               << result.digest << ", recorded 0x" << expected.digest;
     expectAtLeast(result.counts, expected.least);
--- a/tests/decision/endpoint_list_polling_test.cpp
+++ b/tests/decision/endpoint_list_polling_test.cpp
@@ -81,7 +81,7 @@
     return delays;
 }
 
-TEST(EndpointListPolling, IsNotDueBeforeAnythingHappened) {
+TEST(EndpointListPolling, IsNotDueInitially) {
     EXPECT_FALSE(EndpointListPolling{}.isDue(kNow + 1000h));
 }
 
--- a/tests/decision/endpoint_table_test.cpp
+++ b/tests/decision/endpoint_table_test.cpp
@@ -129,7 +129,7 @@
     EXPECT_EQ(f.endpoints.find(EndpointId{4}), nullptr);
 }
 
-TEST(EndpointTable, KeepsEndpointThatLeftOnlyWhileItHasConnections) {
+TEST(EndpointTable, KeepsRemovedEndpointOnlyWhileItHasConnections) {
     PartsFixture f;
     f.list({endpointEntry(1), endpointEntry(2), endpointEntry(3)});
     f.endpoint(2).ownConnections = 1;
@@ -172,7 +172,7 @@
     EXPECT_EQ(after.warmingUpSince, kNow - 2s);
 }
 
-TEST(EndpointTable, SlowStartCountsFromNowAtTheLatestAndFromTheNodesStart) {
+TEST(EndpointTable, SlowStartBeginsNoLaterThanNowAndItsTurnsNoEarlierThanTheNode) {
     PartsFixture f;
     EndpointEntry future = endpointEntry(1);
     future.startedAt = kNow + 3600s;
--- a/tests/decision/event_generator.cpp
+++ b/tests/decision/event_generator.cpp
@@ -32,17 +32,17 @@
 
 GeneratedResult EventGenerator::run() {
     handle(Started{});
-    announce(EndpointListKind::Full);
+    deliverEndpointList(EndpointListKind::Full);
     resumeConnections();
-    schedule(0us, [this] { arrive(); });
-    schedule(10ms, [this] { measure(); });
-    schedule(100ms, [this] { change(); });
+    schedule(0us, [this] { generateArrival(); });
+    schedule(10ms, [this] { generateMeasurement(); });
+    schedule(100ms, [this] { applyRandomChange(); });
     schedule(1s, [this] { digestState(); });
     while (counts_.events < case_.events) {
-        const auto next = agenda_.begin();
+        const auto next = scheduledSteps_.begin();
         now_ = next->first;
         const std::function<void()> step = std::move(next->second);
-        agenda_.erase(next);
+        scheduledSteps_.erase(next);
         step();
     }
     digestState();
@@ -50,7 +50,7 @@
 }
 
 void EventGenerator::schedule(Micros after, std::function<void()> step) {
-    agenda_.emplace(now_ + after, std::move(step));
+    scheduledSteps_.emplace(now_ + after, std::move(step));
 }
 
 void EventGenerator::handle(const Event& event) {
@@ -60,7 +60,7 @@
     hash_.add(now_);
     for (const Action& action : actions) {
         std::visit([this](const auto& a) { hash_.add(a); }, action);
-        std::visit([this](const auto& a) { carryOut(a); }, action);
+        std::visit([this](const auto& a) { execute(a); }, action);
     }
 }
 
@@ -73,38 +73,38 @@
     schedule(1s, [this] { digestState(); });
 }
 
-void EventGenerator::carryOut(const SetTimer& action) {
+void EventGenerator::execute(const SetTimer& action) {
     ++counts_.timers;
     schedule(action.after, [this, token = action.token] { handle(TimerExpired{token}); });
 }
 
-void EventGenerator::carryOut(const WatchEndpoints& /*action*/) {
+void EventGenerator::execute(const WatchEndpoints& /*action*/) {
     ++counts_.watches;
     const double result = random_.next();
     if (result < 0.2) return;  // no response at all
     const EndpointListKind kind = result < 0.5   ? EndpointListKind::Failed
                                   : result < 0.6 ? EndpointListKind::Cached
                                                  : EndpointListKind::Full;
-    schedule(micros(random_.between(0.001, 0.2)), [this, kind] { announce(kind); });
+    schedule(micros(random_.between(0.001, 0.2)), [this, kind] { deliverEndpointList(kind); });
 }
 
-void EventGenerator::carryOut(const RejectRequest& action) {
+void EventGenerator::execute(const RejectRequest& action) {
     ++counts_.rejections;
-    remove(action.request);
+    removeRequest(action.request);
 }
 
-void EventGenerator::carryOut(const FailRequest& action) {
+void EventGenerator::execute(const FailRequest& action) {
     ++counts_.failures;
-    remove(action.request);
+    removeRequest(action.request);
 }
 
 // The client reconnects after a while.
-void EventGenerator::carryOut(const MigrateConnection& action) {
+void EventGenerator::execute(const MigrateConnection& action) {
     ++counts_.migrations;
     const auto at = requests_.find(action.request);
     if (at == requests_.end()) return;
     const RequestArrived before = at->second.arrival;
-    remove(action.request);
+    removeRequest(action.request);
     schedule(micros(random_.between(0.01, 0.5)), [this, before] {
         RequestArrived arrival = before;
         arrival.request = RequestId{++lastRequestId_};
@@ -113,7 +113,7 @@
     });
 }
 
-void EventGenerator::carryOut(const StartHealthCheck& action) {
+void EventGenerator::execute(const StartHealthCheck& action) {
     ++counts_.healthChecks;
     const SimulatedEndpoint* endpoint = fleet_.find(action.endpoint);
     const bool unresponsive = endpoint == nullptr || now_ < endpoint->unresponsiveUntil ||
@@ -139,7 +139,7 @@
     });
 }
 
-GeneratedResult play(const GeneratedCase& generated) {
+GeneratedResult runGeneratedCase(const GeneratedCase& generated) {
     return EventGenerator(generated).run();
 }
 
--- a/tests/decision/event_generator.hpp
+++ b/tests/decision/event_generator.hpp
@@ -41,19 +41,19 @@
     void digestState();
 
     // ---- actions of the engine ----
-    void carryOut(const SetTimer& action);
-    void carryOut(const WatchEndpoints& action);
-    void carryOut(const Log& /*action*/) {}
-    void carryOut(const CancelAttempt& /*action*/) { ++counts_.cancellations; }
-    void carryOut(const RejectRequest& action);
-    void carryOut(const FailRequest& action);
-    void carryOut(const MigrateConnection& action);
-    void carryOut(const StartHealthCheck& action);
-    void carryOut(const StartAttempt& action);
+    void execute(const SetTimer& action);
+    void execute(const WatchEndpoints& action);
+    void execute(const Log& /*action*/) {}
+    void execute(const CancelAttempt& /*action*/) { ++counts_.cancellations; }
+    void execute(const RejectRequest& action);
+    void execute(const FailRequest& action);
+    void execute(const MigrateConnection& action);
+    void execute(const StartHealthCheck& action);
+    void execute(const StartAttempt& action);
     void completeHealthCheck(EndpointId endpoint, Outcome outcome, Micros elapsed);
 
     // ---- requests and connections ----
-    void arrive();
+    void generateArrival();
     RequestArrived randomRequest();
     void submit(const RequestArrived& arrival);
     void disconnect(RequestId id);
@@ -61,18 +61,18 @@
     void establish(RequestId id, Micros elapsed);
     void endAttempt(RequestId id, Outcome outcome, Micros elapsed, bool requestEnded);
     void closeConnection(Request& request);
-    void remove(RequestId id);
+    void removeRequest(RequestId id);
     void resumeConnections();
-    void measure();
+    void generateMeasurement();
     void deliverInvalidEvents();
     double meanConnectionSeconds() const;
     std::optional<LoadReport> reportWithResponse(EndpointId endpoint);
 
     // ---- changes of the endpoint list, bans and settings ----
-    void change();
+    void applyRandomChange();
     void changeEndpoint(SimulatedEndpoint& endpoint, std::uint64_t kind);
-    void announce(EndpointListKind kind);
-    void announce(const SimulatedEndpoint& endpoint);
+    void deliverEndpointList(EndpointListKind kind);
+    void deliverEndpointList(const SimulatedEndpoint& endpoint);
     void restart(SimulatedEndpoint& endpoint);
     void setAvailability(SimulatedEndpoint& endpoint, Availability availability);
     void ban(const SimulatedEndpoint& endpoint);
@@ -87,7 +87,7 @@
     DecisionHash hash_;
     ActionCounts counts_;
     Time now_{1'000'000};
-    std::multimap<Time, std::function<void()>> agenda_;
+    std::multimap<Time, std::function<void()>> scheduledSteps_;
     std::map<RequestId, Request> requests_;
     std::uint64_t lastRequestId_ = 0;
 };
--- a/tests/decision/fleet_capacity_estimate_test.cpp
+++ b/tests/decision/fleet_capacity_estimate_test.cpp
@@ -23,7 +23,7 @@
 
 // A node that returns while the other one restarts gets all clients at once, before it has learned the
 // capacity of the endpoints.
-TEST(FleetCapacityEstimate, FreshNodeFillsFleetWithCapacity) {
+TEST(FleetCapacityEstimate, NewNodeUsesTheCapacityOfTheFleet) {
     Settings settings = defaultSettings();
     settings.nodes = 2;
     DecisionEngineDriver fresh = makeFleet(settings, 4, 0.4);
@@ -69,8 +69,8 @@
     first.loadHint = 145'000;
     RequestArrived again = first;
     again.reconnecting = true;
-    DecisionEngineDriver takesOver = makeFleet(settings, 4, 0.8);
-    EXPECT_EQ(acceptedOfSixty(takesOver, again), 60);
+    DecisionEngineDriver replacement = makeFleet(settings, 4, 0.8);
+    EXPECT_EQ(acceptedOfSixty(replacement, again), 60);
     DecisionEngineDriver growing = makeFleet(settings, 4, 0.8);
     EXPECT_LT(acceptedOfSixty(growing, first), 60) << "they bring more load";
     DecisionEngineDriver later = makeFleet(settings, 4, 0.8);
@@ -96,29 +96,29 @@
         estimate.add(sample, 1.0);
 }
 
-TEST(FleetCapacityEstimate, IsTheGuessOrTheListedSizeAtFirst) {
+TEST(FleetCapacityEstimate, IsInitiallyTheDefaultOrTheListedSize) {
     const FleetCapacityEstimate estimate;
-    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kMediumCapacity, 0.0), kMediumCapacity);
-    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kMediumCapacity, 4.0), 4e6) << "listed sizes are in cores";
-    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kMediumCapacity, -4.0), kMediumCapacity);
+    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, 0.0), kDefaultCapacity);
+    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, 4.0), 4e6) << "listed sizes are in cores";
+    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, -4.0), kDefaultCapacity);
 }
 
 TEST(FleetCapacityEstimate, StaysWithinItsBounds) {
     const FleetCapacityEstimate estimate;
     EXPECT_DOUBLE_EQ(estimate.typicalCapacity(1.0, 0.0), kMinCapacity);
-    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kMediumCapacity, 1000.0), kMaxCapacity);
+    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, 1000.0), kMaxCapacity);
     FleetCapacityEstimate learned;
     addForSeconds(learned, {1e12, 0.001, 1000}, 60);
-    EXPECT_DOUBLE_EQ(learned.typicalCapacity(kMediumCapacity, 0.0), kMaxCapacity);
+    EXPECT_DOUBLE_EQ(learned.typicalCapacity(kDefaultCapacity, 0.0), kMaxCapacity);
 }
 
 TEST(FleetCapacityEstimate, LearnsWorkOverLoad) {
     FleetCapacityEstimate estimate;
     addForSeconds(estimate, {12e6, 2.0, 10'000}, 60);
-    EXPECT_NEAR(estimate.typicalCapacity(kMediumCapacity, 0.0), 6e6, 0.01e6);
+    EXPECT_NEAR(estimate.typicalCapacity(kDefaultCapacity, 0.0), 6e6, 0.01e6);
 }
 
-TEST(FleetCapacityEstimate, TrustGrowsWithConnectionSeconds) {
+TEST(FleetCapacityEstimate, ConfidenceGrowsWithConnectionSeconds) {
     FleetCapacityEstimate estimate;
     estimate.add({6e6, 1.0, 200}, 1.0);
     EXPECT_DOUBLE_EQ(estimate.typicalCapacity(10e6, 0.0), 8e6) << "200 connection seconds count as half";
@@ -127,7 +127,7 @@
 TEST(FleetCapacityEstimate, WithoutReportedLoadNothingIsLearned) {
     FleetCapacityEstimate estimate;
     addForSeconds(estimate, {8e6, 0.0, 1000}, 60);
-    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kMediumCapacity, 0.0), kMediumCapacity);
+    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, 0.0), kDefaultCapacity);
 }
 
 TEST(FleetCapacityEstimate, IgnoresNegativeConnectionsAndEmptySpans) {
@@ -138,11 +138,11 @@
     EXPECT_DOUBLE_EQ(estimate.typicalCapacity(10e6, 0.0), 10e6);
 }
 
-TEST(FleetCapacityEstimate, ForgetsWithinMinutes) {
+TEST(FleetCapacityEstimate, ReplacesOldSamplesWithinMinutes) {
     FleetCapacityEstimate estimate;
     addForSeconds(estimate, {40e6, 1.0, 10'000}, 60);
     addForSeconds(estimate, {4e6, 1.0, 10'000}, 600);
-    EXPECT_NEAR(estimate.typicalCapacity(kMediumCapacity, 0.0), 4e6, 0.05e6);
+    EXPECT_NEAR(estimate.typicalCapacity(kDefaultCapacity, 0.0), 4e6, 0.05e6);
 }
 
 TEST(FleetCapacityEstimate, IsRestoredAsStored) {
@@ -152,7 +152,8 @@
     estimate.store(learned);
     FleetCapacityEstimate restored;
     restored.restore(learned);
-    EXPECT_EQ(restored.typicalCapacity(kMediumCapacity, 0.0), estimate.typicalCapacity(kMediumCapacity, 0.0));
+    EXPECT_EQ(restored.typicalCapacity(kDefaultCapacity, 0.0),
+              estimate.typicalCapacity(kDefaultCapacity, 0.0));
 }
 
 }  // namespace
--- a/tests/decision/fleet_snapshot_test.cpp
+++ b/tests/decision/fleet_snapshot_test.cpp
@@ -57,7 +57,7 @@
     EXPECT_DOUBLE_EQ(f.refresh().spareUtilisation, 80.0);
 }
 
-TEST(FleetSnapshot, IsComputedAgainOnlyWhenOutdated) {
+TEST(FleetSnapshot, IsRecomputedOnlyWhenOutdated) {
     SnapshotFixture f;
     f.list({endpointEntry(1)});
     f.report(1, 0.2);
--- a/tests/decision/generated_changes.cpp
+++ b/tests/decision/generated_changes.cpp
@@ -12,7 +12,7 @@
 // The order is part of what the recorded digests depend on.
 enum class Change : std::uint64_t {
     Restart,
-    RestartToo,  // restarts are twice as frequent as the others
+    RestartDuplicate,  // restarts are twice as frequent as the others
     Drain,
     Remove,
     StopResponding,
@@ -29,10 +29,10 @@
 
 }  // namespace
 
-void EventGenerator::change() {
-    schedule(micros(random_.between(0.0, 2.0 * case_.secondsPerChange)), [this] { change(); });
+void EventGenerator::applyRandomChange() {
+    schedule(micros(random_.between(0.0, 2.0 * case_.secondsPerChange)), [this] { applyRandomChange(); });
     if (settings_.discoveryMode == DiscoveryMode::Poll && random_.chance(0.4))
-        return announce(EndpointListKind::Failed);
+        return deliverEndpointList(EndpointListKind::Failed);
     SimulatedEndpoint& endpoint = fleet_.any();
     changeEndpoint(endpoint, random_.below(static_cast<std::uint64_t>(Change::Count)));
 }
@@ -40,7 +40,7 @@
 void EventGenerator::changeEndpoint(SimulatedEndpoint& endpoint, std::uint64_t kind) {
     switch (static_cast<Change>(kind)) {
         case Change::Restart:
-        case Change::RestartToo:
+        case Change::RestartDuplicate:
             return restart(endpoint);
         case Change::Drain:
             return setAvailability(endpoint, Availability::Draining);
@@ -54,7 +54,8 @@
         case Change::Settings:
             return changeSettings();
         case Change::CompleteList:
-            return announce(random_.chance(0.3) ? EndpointListKind::Cached : EndpointListKind::Full);
+            return deliverEndpointList(random_.chance(0.3) ? EndpointListKind::Cached
+                                                           : EndpointListKind::Full);
         case Change::InheritState:
             return handle(LearnedStateInherited{engine_->learnedState(now_)});
         case Change::Slowness:
@@ -64,38 +65,38 @@
             endpoint.loadOfOtherNodes = case_.targetLoad * random_.between(0.2, 1.6);
             return;
         case Change::FailedPoll:
-            return announce(EndpointListKind::Failed);
+            return deliverEndpointList(EndpointListKind::Failed);
         case Change::InvalidCapacity:
         case Change::Count:
             return listInvalidCapacity(endpoint);
     }
 }
 
-void EventGenerator::announce(EndpointListKind kind) {
+void EventGenerator::deliverEndpointList(EndpointListKind kind) {
     EndpointListChanged event{kind, {}};
     if (kind != EndpointListKind::Failed) event.endpoints = fleet_.entries();
     handle(event);
 }
 
-void EventGenerator::announce(const SimulatedEndpoint& endpoint) {
+void EventGenerator::deliverEndpointList(const SimulatedEndpoint& endpoint) {
     handle(EndpointListChanged{EndpointListKind::Delta, {endpoint.entry}});
 }
 
 void EventGenerator::restart(SimulatedEndpoint& endpoint) {
     endpoint.entry.startedAt = now_ + (random_.chance(0.1) ? 300ms : 0ms);
     endpoint.entry.availability = Availability::Ready;
-    announce(endpoint);
+    deliverEndpointList(endpoint);
 }
 
 // Sets it for a while; then the endpoint is ready again, often after a restart.
 void EventGenerator::setAvailability(SimulatedEndpoint& endpoint, Availability availability) {
     endpoint.entry.availability = availability;
-    announce(endpoint);
+    deliverEndpointList(endpoint);
     schedule(micros(random_.between(0.5, 6.0)), [this, id = endpoint.entry.id] {
-        SimulatedEndpoint& back = *fleet_.find(id);
-        back.entry.availability = Availability::Ready;
-        if (random_.chance(0.5)) back.entry.startedAt = now_;
-        announce(back);
+        SimulatedEndpoint& returning = *fleet_.find(id);
+        returning.entry.availability = Availability::Ready;
+        if (random_.chance(0.5)) returning.entry.startedAt = now_;
+        deliverEndpointList(returning);
     });
 }
 
@@ -109,9 +110,9 @@
 void EventGenerator::listInvalidCapacity(SimulatedEndpoint& endpoint) {
     const double valid = endpoint.entry.capacityUnits;
     endpoint.entry.capacityUnits = random_.chance(0.3) ? kNotANumber : random_.chance(0.5) ? -1.0 : 0.0;
-    announce(endpoint);
+    deliverEndpointList(endpoint);
     endpoint.entry.capacityUnits = valid;
-    announce(endpoint);
+    deliverEndpointList(endpoint);
 }
 
 // Another objective and other limits for a while; classes and tenants keep their indices.
--- a/tests/decision/generated_events.hpp
+++ b/tests/decision/generated_events.hpp
@@ -41,6 +41,6 @@
     ActionCounts counts;
 };
 
-GeneratedResult play(const GeneratedCase& generated);
+GeneratedResult runGeneratedCase(const GeneratedCase& generated);
 
 }  // namespace ivyreel::test
--- a/tests/decision/generated_requests.cpp
+++ b/tests/decision/generated_requests.cpp
@@ -22,10 +22,10 @@
 
 }  // namespace
 
-void EventGenerator::arrive() {
+void EventGenerator::generateArrival() {
     submit(randomRequest());
     const double rate = case_.arrivalsPerSecond * burstFactor(now_);
-    schedule(micros(-std::log(random_.next()) / rate), [this] { arrive(); });
+    schedule(micros(-std::log(random_.next()) / rate), [this] { generateArrival(); });
 }
 
 // Some requests have an unknown class or tenant, or an invalid load hint.
@@ -57,11 +57,11 @@
 
 void EventGenerator::disconnect(RequestId id) {
     if (!requests_.contains(id)) return;
-    remove(id);
+    removeRequest(id);
     handle(ClientDisconnected{id});
 }
 
-void EventGenerator::carryOut(const StartAttempt& action) {
+void EventGenerator::execute(const StartAttempt& action) {
     ++counts_.attempts;
     const auto at = requests_.find(action.request);
     if (at == requests_.end()) return;
@@ -146,7 +146,7 @@
     fleet_.removeConnection(request.endpoint, request.load);
 }
 
-void EventGenerator::remove(RequestId id) {
+void EventGenerator::removeRequest(RequestId id) {
     const auto at = requests_.find(id);
     if (at == requests_.end()) return;
     closeConnection(at->second);
@@ -170,8 +170,8 @@
 }
 
 // Measures the load or the message delay of one connection at random.
-void EventGenerator::measure() {
-    schedule(micros(random_.between(0.0, 4.0 / case_.arrivalsPerSecond)), [this] { measure(); });
+void EventGenerator::generateMeasurement() {
+    schedule(micros(random_.between(0.0, 4.0 / case_.arrivalsPerSecond)), [this] { generateMeasurement(); });
     if (random_.chance(0.02)) return deliverInvalidEvents();
     if (requests_.empty()) return;
     auto at = requests_.begin();
--- a/tests/decision/health_check_schedule_test.cpp
+++ b/tests/decision/health_check_schedule_test.cpp
@@ -94,7 +94,7 @@
     EXPECT_EQ(d.finalAnswers(request) + d.attempts(request), 1) << "but not for long";
 }
 
-TEST(HealthCheckSchedule, ChecksOfEndpointsAreNotSynchronised) {
+TEST(HealthCheckSchedule, ChecksOfDifferentEndpointsAreNotSynchronised) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 8, 0.3);
     const int atStart = d.count<StartHealthCheck>();
     EXPECT_EQ(atStart, 8);
@@ -174,7 +174,7 @@
 }
 
 // An endpoint with a round trip of 1 ms, after another answer that took so long.
-Endpoint afterAnswerOf(Micros elapsed, std::uint32_t nodes) {
+Endpoint endpointAfterAnswer(Micros elapsed, std::uint32_t nodes) {
     Settings settings = defaultSettings();
     settings.nodes = nodes;
     Endpoint endpoint = listedEndpoint();
@@ -184,21 +184,21 @@
 }
 
 TEST(HealthCheckSchedule, IntervalFollowsEndpointsPerRequest) {
-    EXPECT_EQ(steadyHealthCheckInterval(100, 10.0, 300), Micros{2500ms});
-    EXPECT_EQ(steadyHealthCheckInterval(1, 1000.0, 300), Micros{1s}) << "no more often";
-    EXPECT_EQ(steadyHealthCheckInterval(100, 1.0, 300), std::nullopt) << "too many for a large fleet";
-    EXPECT_EQ(steadyHealthCheckInterval(100, 1.0, 4), kMaxInterval) << "but not for a small one";
-    EXPECT_EQ(steadyHealthCheckInterval(100, 1.0, 5), std::nullopt);
+    EXPECT_EQ(periodicHealthCheckInterval(100, 10.0, 300), Micros{2500ms});
+    EXPECT_EQ(periodicHealthCheckInterval(1, 1000.0, 300), Micros{1s}) << "no more often";
+    EXPECT_EQ(periodicHealthCheckInterval(100, 1.0, 300), std::nullopt) << "too many for a large fleet";
+    EXPECT_EQ(periodicHealthCheckInterval(100, 1.0, 4), kMaxInterval) << "but not for a small one";
+    EXPECT_EQ(periodicHealthCheckInterval(100, 1.0, 5), std::nullopt);
 }
 
 TEST(HealthCheckSchedule, IntervalIsDefinedWithoutEndpointsOrArrivals) {
-    EXPECT_EQ(steadyHealthCheckInterval(0, 1.0, 300), Micros{1s});
-    EXPECT_EQ(steadyHealthCheckInterval(10, 0.0, 3), kMaxInterval);
-    EXPECT_EQ(steadyHealthCheckInterval(10, 0.0, 300), std::nullopt);
-    EXPECT_EQ(steadyHealthCheckInterval(0, 0.0, 3), kMaxInterval);
+    EXPECT_EQ(periodicHealthCheckInterval(0, 1.0, 300), Micros{1s});
+    EXPECT_EQ(periodicHealthCheckInterval(10, 0.0, 3), kMaxInterval);
+    EXPECT_EQ(periodicHealthCheckInterval(10, 0.0, 300), std::nullopt);
+    EXPECT_EQ(periodicHealthCheckInterval(0, 0.0, 3), kMaxInterval);
 }
 
-TEST(HealthCheckSchedule, FirstCheckIsDueAtOnceThenInAPhaseOfItsOwn) {
+TEST(HealthCheckSchedule, FirstCheckIsDueAtOnceAndSecondAfterRandomInterval) {
     SplitMix64 random{7};
     Endpoint endpoint = listedEndpoint();
     EXPECT_TRUE(isHealthCheckDue(endpoint, 1s, kNow));
@@ -225,17 +225,17 @@
     EXPECT_FALSE(isHealthCheckDue(endpoint, 1s, kNow));
 }
 
-TEST(HealthCheckSchedule, FailureIsConfirmedSoonUntilTheEndpointIsLost) {
+TEST(HealthCheckSchedule, FailureIsConfirmedSoonUntilFailureCountExceedsLimit) {
     const Settings settings = defaultSettings();
     Endpoint endpoint = listedEndpoint();
     for (int failures = 1; failures <= kUnhealthyAfterFailures; ++failures) {
         recordHealthCheckResult(endpoint, resultOf(Outcome::Error), settings, kNow);
-        EXPECT_EQ(endpoint.healthCheck.confirmAt, kNow + 250ms);
+        EXPECT_EQ(endpoint.healthCheck.extraCheckAt, kNow + 250ms);
         EXPECT_TRUE(isHealthCheckDue(endpoint, std::nullopt, kNow + 250ms));
     }
-    endpoint.healthCheck.confirmAt = Time::max();
+    endpoint.healthCheck.extraCheckAt = Time::max();
     recordHealthCheckResult(endpoint, resultOf(Outcome::Error), settings, kNow);
-    EXPECT_EQ(endpoint.healthCheck.confirmAt, Time::max());
+    EXPECT_EQ(endpoint.healthCheck.extraCheckAt, Time::max());
     recordHealthCheckResult(endpoint, resultOf(Outcome::Ok), settings, kNow);
     EXPECT_EQ(endpoint.healthCheckFailures, 0);
 }
@@ -244,12 +244,12 @@
     const Settings settings = defaultSettings();
     Endpoint endpoint = listedEndpoint();
     recordHealthCheckResult(endpoint, resultOf(Outcome::Timeout), settings, kNow);
-    EXPECT_EQ(endpoint.healthCheck.unanswered, 1);
+    EXPECT_EQ(endpoint.healthCheck.consecutiveUnanswered, 1);
     recordHealthCheckResult(endpoint, resultOf(Outcome::ConnectFailed, settings.limits.connectTimeout),
                             settings, kNow);
-    EXPECT_EQ(endpoint.healthCheck.unanswered, 2) << "the connection attempt timed out";
+    EXPECT_EQ(endpoint.healthCheck.consecutiveUnanswered, 2) << "the connection attempt timed out";
     recordHealthCheckResult(endpoint, resultOf(Outcome::ConnectFailed, 1ms), settings, kNow);
-    EXPECT_EQ(endpoint.healthCheck.unanswered, 0) << "it was refused";
+    EXPECT_EQ(endpoint.healthCheck.consecutiveUnanswered, 0) << "it was refused";
     EXPECT_EQ(endpoint.healthCheckFailures, 3);
 }
 
@@ -261,27 +261,27 @@
     recordHealthCheckResult(endpoint, resultOf(Outcome::Rejected), settings, kNow);
     EXPECT_EQ(endpoint.healthCheckFailures, 1);
     EXPECT_FALSE(endpoint.healthCheck.outstanding);
-    EXPECT_EQ(endpoint.healthCheck.confirmAt, Time::max());
+    EXPECT_EQ(endpoint.healthCheck.extraCheckAt, Time::max());
 }
 
 TEST(HealthCheckSchedule, LateAnswerIsConfirmedInASmallFleetOnly) {
-    EXPECT_EQ(afterAnswerOf(3500us, 3).healthCheck.confirmAt, Time::max());
-    EXPECT_EQ(afterAnswerOf(3501us, 3).healthCheck.confirmAt, kNow + 250ms);
-    EXPECT_EQ(afterAnswerOf(100ms, 300).healthCheck.confirmAt, Time::max());
+    EXPECT_EQ(endpointAfterAnswer(3500us, 3).healthCheck.extraCheckAt, Time::max());
+    EXPECT_EQ(endpointAfterAnswer(3501us, 3).healthCheck.extraCheckAt, kNow + 250ms);
+    EXPECT_EQ(endpointAfterAnswer(100ms, 300).healthCheck.extraCheckAt, Time::max());
 }
 
 TEST(HealthCheckSchedule, RoundTripIsAveragedFromTheFirstOn) {
-    EXPECT_DOUBLE_EQ(afterAnswerOf(1ms, 3).roundTripMicros, 1'000);
-    EXPECT_DOUBLE_EQ(afterAnswerOf(2ms, 3).roundTripMicros, 1'400);
+    EXPECT_DOUBLE_EQ(endpointAfterAnswer(1ms, 3).roundTripMicros, 1'000);
+    EXPECT_DOUBLE_EQ(endpointAfterAnswer(2ms, 3).roundTripMicros, 1'400);
 }
 
-TEST(HealthCheckSchedule, ImmediateCheckKeepsADistanceToTheLast) {
+TEST(HealthCheckSchedule, ImmediateCheckIsNotScheduledRightAfterTheLast) {
     Endpoint endpoint = listedEndpoint();
     endpoint.healthCheck.startedAt = kNow;
     scheduleImmediateCheck(endpoint, kNow + 250ms - 1us);
-    EXPECT_EQ(endpoint.healthCheck.confirmAt, Time::max());
+    EXPECT_EQ(endpoint.healthCheck.extraCheckAt, Time::max());
     scheduleImmediateCheck(endpoint, kNow + 250ms);
-    EXPECT_EQ(endpoint.healthCheck.confirmAt, kNow + 250ms);
+    EXPECT_EQ(endpoint.healthCheck.extraCheckAt, kNow + 250ms);
 }
 
 }  // namespace
--- a/tests/decision/kind_capacity_test.cpp
+++ b/tests/decision/kind_capacity_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr KindIndex kKind{1};
 constexpr KindIndex kOtherKind{2};
-constexpr double kGuess = 60.0;
+constexpr double kDefaultConnections = 60.0;
 
 void recordReports(KindCapacityEstimate& estimate, KindIndex kind, double connections, double load,
                    int reports = 5'000) {
@@ -24,38 +24,41 @@
         estimate.recordReport(endpoint, 1.0);
 }
 
-TEST(KindCapacityEstimate, IsTheGuessForItsSizeAtFirst) {
+TEST(KindCapacityEstimate, IsInitiallyTheDefaultScaledBySize) {
     const KindCapacityEstimate estimate;
-    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kKind, 1.0, kGuess), kGuess);
-    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kKind, 0.5, kGuess), kGuess / 2);
+    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kKind, 1.0, kDefaultConnections), kDefaultConnections);
+    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kKind, 0.5, kDefaultConnections),
+                     kDefaultConnections / 2);
 }
 
 TEST(KindCapacityEstimate, LearnsConnectionsOverLoad) {
     KindCapacityEstimate estimate;
     recordReports(estimate, kKind, 50, 0.5);
-    EXPECT_NEAR(estimate.connectionsAtCapacity(kKind, 1.0, kGuess), 100.0, 1.0);
-    EXPECT_NEAR(estimate.connectionsAtCapacity(kKind, 2.0, kGuess), 200.0, 2.0);
+    EXPECT_NEAR(estimate.connectionsAtCapacity(kKind, 1.0, kDefaultConnections), 100.0, 1.0);
+    EXPECT_NEAR(estimate.connectionsAtCapacity(kKind, 2.0, kDefaultConnections), 200.0, 2.0);
 }
 
-TEST(KindCapacityEstimate, UnknownKindGetsTheLeastOfTheOthersAndTheGuess) {
+TEST(KindCapacityEstimate, UnknownKindGetsTheMinimumOfOtherKindsAndTheDefault) {
     KindCapacityEstimate estimate;
     recordReports(estimate, kKind, 50, 0.5);
-    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kOtherKind, 1.0, kGuess), kGuess);
+    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kOtherKind, 1.0, kDefaultConnections),
+                     kDefaultConnections);
     EXPECT_NEAR(estimate.connectionsAtCapacity(kOtherKind, 1.0, 1000.0), 100.0, 1.0);
 }
 
-TEST(KindCapacityEstimate, ReportsWithoutLoadTellLittle) {
+TEST(KindCapacityEstimate, ReportsWithoutLoadLeaveTheDefault) {
     KindCapacityEstimate estimate;
     recordReports(estimate, kKind, 0, 0.0);
-    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kKind, 1.0, kGuess), kGuess);
-    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kOtherKind, 1.0, kGuess), kGuess);
+    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kKind, 1.0, kDefaultConnections), kDefaultConnections);
+    EXPECT_DOUBLE_EQ(estimate.connectionsAtCapacity(kOtherKind, 1.0, kDefaultConnections),
+                     kDefaultConnections);
 }
 
-TEST(KindCapacityEstimate, ForgetsOldReports) {
+TEST(KindCapacityEstimate, RecentReportsReplaceOldOnes) {
     KindCapacityEstimate estimate;
     recordReports(estimate, kKind, 20, 0.5);
     recordReports(estimate, kKind, 50, 0.5);
-    EXPECT_NEAR(estimate.connectionsAtCapacity(kKind, 1.0, kGuess), 100.0, 1.0);
+    EXPECT_NEAR(estimate.connectionsAtCapacity(kKind, 1.0, kDefaultConnections), 100.0, 1.0);
 }
 
 }  // namespace
--- a/tests/decision/load_polling_test.cpp
+++ b/tests/decision/load_polling_test.cpp
@@ -26,7 +26,7 @@
     EXPECT_FALSE(isLoadKnown(endpoint, settings, kNow + 2s));
 }
 
-TEST(LoadPolling, LoadCountsAsKnownWherePollsTellNothing) {
+TEST(LoadPolling, LoadCountsAsKnownIfPollsCannotReturnIt) {
     Settings withoutChecks = defaultSettings();
     withoutChecks.limits.healthChecks = false;
     Settings withoutReports = defaultSettings();
@@ -62,7 +62,7 @@
     EXPECT_FALSE(canBePolled(endpoint, request, settings, kNow + 1ms)) << "it has failed, or told nothing";
 }
 
-TEST(LoadPolling, JoinsARecentHealthCheckOnly) {
+TEST(LoadPolling, WaitsForOutstandingHealthCheckOnlyIfRecent) {
     const Settings settings = defaultSettings();
     Endpoint endpoint = endpointOf(1);
     endpoint.healthCheck.startedAt = kNow;
--- a/tests/decision/load_report_handling_test.cpp
+++ b/tests/decision/load_report_handling_test.cpp
@@ -8,7 +8,7 @@
 namespace ivyreel::test {
 namespace {
 
-TEST(LoadReportHandling, TakesTheLoadOverCapacity) {
+TEST(LoadReportHandling, UsesLoadOverCapacity) {
     Endpoint endpoint;
     LoadReport report = loadReport(0.617);
     report.cpuUtilisation = 0.9;
@@ -20,7 +20,7 @@
     EXPECT_TRUE(hasFreshReport(endpoint, kNow));
 }
 
-TEST(LoadReportHandling, TakesTheProcessorsWithoutLoadOverCapacity) {
+TEST(LoadReportHandling, UsesCpuUtilisationWithoutLoadOverCapacity) {
     Endpoint endpoint;
     LoadReport report;
     report.cpuUtilisation = 0.4;
@@ -28,7 +28,7 @@
     EXPECT_EQ(endpoint.utilisation, 40);
 }
 
-TEST(LoadReportHandling, KeepsTheLastLoadWithoutEither) {
+TEST(LoadReportHandling, KeepsPreviousLoadIfReportHasNone) {
     Endpoint endpoint;
     applyLoadReport(endpoint, loadReport(0.4), kNow);
     LoadReport report;
@@ -57,7 +57,7 @@
     }
 }
 
-TEST(LoadReportHandling, RemovesTheSendsThatItShows) {
+TEST(LoadReportHandling, RemovesSendsIncludedInTheReport) {
     Endpoint endpoint;
     for (const Time at : {Time{kNow - kReportLag - 1us}, Time{kNow - kReportLag}, kNow})
         endpoint.recentSends.push_back({RequestId{1}, at, 1.0, false});
--- a/tests/decision/message_delay_test.cpp
+++ b/tests/decision/message_delay_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // An endpoint whose last health check was a while ago, after a message with this delay.
-Endpoint afterDelay(double delayMs, Micros objective = 100ms) {
+Endpoint endpointAfterDelay(double delayMs, Micros objective = 100ms) {
     Endpoint endpoint;
     endpoint.healthCheck.startedAt = kNow - 10s;
     recordMessageDelay(endpoint, delayMs, objective, kNow);
@@ -21,25 +21,25 @@
 }
 
 TEST(MessageDelay, IsLateBeyondHalfTheObjective) {
-    EXPECT_FALSE(isLate(afterDelay(50.0)));
-    EXPECT_TRUE(isLate(afterDelay(50.1)));
+    EXPECT_FALSE(isLate(endpointAfterDelay(50.0)));
+    EXPECT_TRUE(isLate(endpointAfterDelay(50.1)));
 }
 
 TEST(MessageDelay, BeyondTheObjectiveTriggersAHealthCheck) {
-    EXPECT_EQ(afterDelay(100.0).healthCheck.confirmAt, Time::max());
-    EXPECT_EQ(afterDelay(100.1).healthCheck.confirmAt, kNow);
+    EXPECT_EQ(endpointAfterDelay(100.0).healthCheck.extraCheckAt, Time::max());
+    EXPECT_EQ(endpointAfterDelay(100.1).healthCheck.extraCheckAt, kNow);
 }
 
 TEST(MessageDelay, IsNeverLateWithoutAnObjective) {
     for (const Micros objective : {Micros{0}, Micros{-1s}}) {
-        const Endpoint endpoint = afterDelay(1e9, objective);
+        const Endpoint endpoint = endpointAfterDelay(1e9, objective);
         EXPECT_FALSE(isLate(endpoint));
-        EXPECT_EQ(endpoint.healthCheck.confirmAt, Time::max());
+        EXPECT_EQ(endpoint.healthCheck.extraCheckAt, Time::max());
     }
 }
 
 TEST(MessageDelay, NegativeDelayIsNotLate) {
-    EXPECT_FALSE(isLate(afterDelay(-1e9)));
+    EXPECT_FALSE(isLate(endpointAfterDelay(-1e9)));
 }
 
 }  // namespace
--- a/tests/decision/migration_test.cpp
+++ b/tests/decision/migration_test.cpp
@@ -187,7 +187,7 @@
     EXPECT_NE(f.relief(), std::nullopt);
 }
 
-TEST(OverloadRelief, IsNotRepeatedBeforeItShows) {
+TEST(OverloadRelief, IsNotRepeatedBeforeReportsShowIt) {
     MigrationFixture f;
     f.endpoint(1).nextMigrationAt = kNow + 1us;
     EXPECT_EQ(f.relief(), std::nullopt);
@@ -197,7 +197,7 @@
     EXPECT_EQ(f.relief(), std::nullopt);
 }
 
-TEST(OverloadRelief, TakesThePartAboveItsTarget) {
+TEST(OverloadRelief, MigratesTheLoadAboveTheTarget) {
     MigrationFixture f;
     f.report(2, 0.1);
     EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.80)) << "five per cent below the threshold";
@@ -224,11 +224,11 @@
     EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.85)) << "no report at all, and no division by zero";
 }
 
-TEST(Evacuation, TakesHalfOffAnUnresponsiveEndpoint) {
+TEST(Evacuation, MigratesHalfOffAnUnresponsiveEndpoint) {
     MigrationFixture f;
-    f.endpoint(1).healthCheck.unanswered = 2;
+    f.endpoint(1).healthCheck.consecutiveUnanswered = 2;
     EXPECT_EQ(f.evacuation(), std::nullopt);
-    f.endpoint(1).healthCheck.unanswered = 3;
+    f.endpoint(1).healthCheck.consecutiveUnanswered = 3;
     EXPECT_DOUBLE_EQ(*f.evacuation(), 2e6);
     f.endpoint(1).ownConnections = 0;
     EXPECT_EQ(f.evacuation(), std::nullopt);
@@ -236,7 +236,7 @@
 
 TEST(Evacuation, NeedsAnEndpointThatCanTakeConnections) {
     MigrationFixture f;
-    f.endpoint(1).healthCheck.unanswered = 3;
+    f.endpoint(1).healthCheck.consecutiveUnanswered = 3;
     for (const std::uint64_t id : {1U, 2U, 3U})
         f.report(id, 0.95);
     EXPECT_EQ(f.evacuation(), std::nullopt);
@@ -246,7 +246,7 @@
     EXPECT_EQ(f.evacuation(), std::nullopt);
 }
 
-TEST(Evacuation, TakesADrainingEndpointInSmallSteps) {
+TEST(Evacuation, MigratesOffADrainingEndpointInSmallSteps) {
     MigrationFixture f;
     f.drain(1);
     f.report(1, 0.1);
@@ -255,7 +255,7 @@
     EXPECT_DOUBLE_EQ(*f.evacuation(), 4e6 * 0.1 / 2.0);
 }
 
-TEST(Evacuation, NeedsFourTimesTheCapacityForWhatDrains) {
+TEST(Evacuation, NeedsSpareCapacityOfFourTimesTheDrainingLoad) {
     MigrationFixture f;
     f.drain(1);
     f.report(1, 0.2);
@@ -268,7 +268,7 @@
 
 TEST(Evacuation, IgnoresEndpointsThatAreNotListed) {
     MigrationFixture f;
-    f.endpoint(1).healthCheck.unanswered = 3;
+    f.endpoint(1).healthCheck.consecutiveUnanswered = 3;
     f.endpoint(1).listed = false;
     EXPECT_EQ(f.evacuation(), std::nullopt);
 }
@@ -282,7 +282,7 @@
     request.target.id = EndpointId{endpoint};
 }
 
-TEST(ConnectionsToMigrate, AreThoseAtTheEndpointInTheOrderOfTheirGroups) {
+TEST(ConnectionsToMigrate, AreThoseAtTheEndpointOrderedByGroup) {
     RequestTable requests;
     addConnectionTo(requests, 1, 9, 1);
     addConnectionTo(requests, 2, 5, 1);
@@ -298,7 +298,7 @@
     EXPECT_TRUE(connectionsToMigrate(requests, EndpointId{99}, 1e9, random).empty());
 }
 
-TEST(ConnectionsToMigrate, HaveTheLoadInTheMean) {
+TEST(ConnectionsToMigrate, MatchTheRequestedLoadOnAverage) {
     RequestTable requests;
     for (std::uint64_t id = 1; id <= 5; ++id)
         addConnectionTo(requests, id, 0, 1);
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -58,7 +58,7 @@
     return endpoint.slowdown;
 }
 
-TEST(EndpointFailure, IsAnOutcomeThatBlamesTheEndpoint) {
+TEST(EndpointFailure, IsAnOutcomeCausedByTheEndpoint) {
     for (const Outcome outcome : {Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset}) {
         EXPECT_TRUE(isEndpointFailure(outcome));
     }
@@ -121,7 +121,7 @@
     EXPECT_EQ(slowdownAfterReports(endpoint, 1), 1.0) << "its only connection is too new for the report";
 }
 
-TEST(Slowdown, CountsAsSlowFromItsLimitOn) {
+TEST(Slowdown, CountsAsSlowFromTheThresholdOn) {
     Endpoint endpoint;
     endpoint.slowdown = 1.29;
     EXPECT_FALSE(isSlow(endpoint, false));
@@ -152,7 +152,7 @@
     EXPECT_NEAR(endpoint.setupSlowdown, 1.0, 0.001);
 }
 
-TEST(SetupTimeEstimate, DetectsOneSlowEndpointWithinItsBound) {
+TEST(SetupTimeEstimate, DetectsOneSlowEndpointAndBoundsItsSlowdown) {
     SetupTimeEstimate estimate;
     Endpoint slow;
     Endpoint typical;
--- a/tests/decision/send_rate_test.cpp
+++ b/tests/decision/send_rate_test.cpp
@@ -33,14 +33,14 @@
     EXPECT_DOUBLE_EQ(rate.measure(kNow, 1e9), 25'000) << "the older one is outside of the window";
 }
 
-TEST(SendRate, WindowTakesFourSends) {
+TEST(SendRate, WindowSpansFourSends) {
     SendRate rate;
     rate.recordSend(sendAt(kNow - 3999ms, 40'000));
     EXPECT_DOUBLE_EQ(rate.measure(kNow, 1.0), 10'000);
     EXPECT_DOUBLE_EQ(rate.measure(kNow + 1ms, 1.0), 0.0) << "just outside of the window";
 }
 
-TEST(SendRate, ForgetsSendsAfterTenSeconds) {
+TEST(SendRate, RemovesSendsAfterTenSeconds) {
     SendRate rate;
     rate.recordSend(sendAt(kNow, 40'000));
     EXPECT_EQ(rate.measure(kNow + 10s, 0.0), 0.0);
--- a/tests/decision/utilisation_estimate_test.cpp
+++ b/tests/decision/utilisation_estimate_test.cpp
@@ -11,7 +11,7 @@
 namespace ivyreel::test {
 namespace {
 
-TEST(UtilisationEstimate, BurstAfterLowReportIsSpread) {
+TEST(UtilisationEstimate, BurstAfterLowReportIsSpreadOverEndpoints) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 2, 0.5);
     for (int i = 0; i < 40; ++i) {
         d.establishConnection(d.submitRequest());
@@ -93,7 +93,7 @@
 }
 
 // Each endpoint has a quarter of the connections; one reports four times the load for it.
-TEST(UtilisationEstimate, SlowEndpointGetsLessThanItsReportSuggests) {
+TEST(UtilisationEstimate, SlowEndpointGetsFewerRequestsThanItsReportSuggests) {
     DecisionEngineDriver d = fleetWithEqualConnections();
     d.setReportedLoad(1, 0.6);
     d.advance(6s);
