--- a/src/decision/actions.hpp
+++ b/src/decision/actions.hpp
@@ -1,4 +1,5 @@
-// Actions: the output of the decision module. Plain values; the caller carries them out in their order.
+// Actions: the output of the decision module. Actions are plain values; the caller executes them in the given
+// order.
 #pragma once
 
 #include <string>
@@ -14,13 +15,13 @@
     Micros timeout{0};
 };
 
-// The request's final answer: it has not run, or may run again, and the client may retry.
+// Final answer to a request that was not executed or may be executed again; the client may retry it.
 struct RejectRequest {
     RequestId request{};
-    Micros retryAfter{0};  // 0: no advice
+    Micros retryAfter{0};  // when the client should retry; 0: not stated
 };
 
-// The request's final answer: it has failed.
+// Final answer to a request that failed.
 struct FailRequest {
     RequestId request{};
 };
@@ -30,7 +31,7 @@
     AttemptIndex attempt{};
 };
 
-// Ends an open connection politely, so that its client connects again.
+// Closes an open connection gracefully, so that its client reconnects.
 struct MigrateConnection {
     RequestId request{};
 };
@@ -39,7 +40,7 @@
     EndpointId endpoint{};
 };
 
-// Polls the endpoint list and subscribes to its changes.
+// Requests the endpoint list and subscribes to its changes.
 struct WatchEndpoints {};
 
 struct SetTimer {
--- a/src/decision/arrival_rate.hpp
+++ b/src/decision/arrival_rate.hpp
@@ -1,4 +1,4 @@
-// The rate at which requests arrive at this node, a second: an exponentially weighted average.
+// The rate at which requests arrive at this node: an exponentially weighted average, in requests per second.
 #pragma once
 
 #include "decision/learned_state.hpp"
@@ -8,7 +8,7 @@
 
 class ArrivalRate {
   public:
-    // The rate decays from `now` on.
+    // Sets the time from which the rate decays.
     void start(Time now) { updatedAt_ = now; }
     void recordArrival(Time now);
     double perSecond(Time now) const;
@@ -17,9 +17,9 @@
     void restore(const LearnedFleetState& learned, Time now);
 
   private:
-    static constexpr double kInitialPerSecond = 1.0;  // until some arrivals were seen
+    static constexpr double kInitialPerSecond = 1.0;  // assumed rate before the first arrivals
 
-    double perSecond_ = kInitialPerSecond;  // at updatedAt_
+    double perSecond_ = kInitialPerSecond;  // requests per second, as of updatedAt_
     Time updatedAt_{0};
 };
 
--- a/src/decision/connection_accounts.cpp
+++ b/src/decision/connection_accounts.cpp
@@ -3,7 +3,7 @@
 namespace ivyreel {
 namespace {
 
-// Whatever the settings say now: what was counted in is counted out.
+// Does not depend on the current settings, so that every connection that was added is also removed.
 void countForTenantAndGroup(DecisionState& state, const Request& request, int change) {
     state.admission.changeConnections(request.arrival.tenant, change);
     if (request.arrival.group == GroupId{0}) return;
--- a/src/decision/connection_accounts.hpp
+++ b/src/decision/connection_accounts.hpp
@@ -1,5 +1,5 @@
-// Counts this node's attempts and open connections in and out, wherever they are accounted for: endpoint,
-// send rate, tenant and affinity group.
+// Adds this node's attempts and open connections to all counters that include them, and removes them again:
+// those of the endpoint, the send rate, the tenant and the affinity group.
 #pragma once
 
 #include "decision/decision_state.hpp"
@@ -7,8 +7,10 @@
 
 namespace ivyreel {
 
-// Once for each attempt or resumed connection, at its target.
+// Adds an attempt or a resumed connection to the counters of its target endpoint, tenant and affinity group.
+// Each one must be added once and removed once.
 void countConnectionIn(DecisionState& state, const Request& request);
+// Removes an attempt or a connection that countConnectionIn added.
 void countConnectionOut(DecisionState& state, const Request& request);
 
 }  // namespace ivyreel
--- a/src/decision/connection_load.cpp
+++ b/src/decision/connection_load.cpp
@@ -5,10 +5,10 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kInitialLoad = 40'000;    // microseconds of work a second: 25 connections a core
-constexpr double kSmoothingFactor = 0.05;  // weight of one load in a mean: loads differ widely
-constexpr double kPriorArrivals = 4.0;     // that the initial typical load counts as
-constexpr double kOutlierMultiple = 10.0;  // of the mean: a load above it counts as so much
+constexpr double kInitialLoad = 40'000;    // microseconds of work per second: 25 connections per core
+constexpr double kSmoothingFactor = 0.05;  // weight of one load in a mean; low, because loads differ widely
+constexpr double kPriorArrivals = 4.0;     // weight of the initial typical load, in arrivals
+constexpr double kOutlierMultiple = 10.0;  // of the mean; a higher load is clamped to it
 
 }  // namespace
 
@@ -33,7 +33,7 @@
     const auto index = static_cast<std::size_t>(requestClass);
     if (index >= meanByClass_.size()) return;
     double& mean = meanByClass_[index];
-    if (mean <= 0.0) mean = kInitialLoad;  // the first one alone tells little
+    if (mean <= 0.0) mean = kInitialLoad;  // a single measurement is not representative
     mean += (std::min(load, kOutlierMultiple * mean) - mean) * kSmoothingFactor;
 }
 
--- a/src/decision/connection_load.hpp
+++ b/src/decision/connection_load.hpp
@@ -1,5 +1,5 @@
-// What load a connection is expected to bring, in microseconds of work a second: the mean of its class, and
-// that of a typical connection.
+// Estimates the load of a connection, in microseconds of work per second: the mean of its request class, and
+// the load of a typical connection of any class.
 #pragma once
 
 #include <cstddef>
@@ -13,26 +13,27 @@
 
 class ConnectionLoadEstimate {
   public:
-    // There are this many classes; there may be more than before.
+    // Sets the number of request classes. The number never shrinks: a lower one is ignored.
     void setClassCount(std::size_t classes);
 
-    // The load hint of the request, else the mean of its class, else a typical load.
+    // Returns the load hint of the request, else the mean of its class, else an initial default.
     double expected(const RequestArrived& request) const;
-    // Of one connection of any class.
+    // Returns the load of a typical connection of any class.
     double typical() const { return typical_; }
 
-    // `load`: the expected one of a request that arrives.
+    // Records the expected load of an arriving request.
     void recordArrival(double load);
+    // Records the measured load of a connection; ignored for an unknown class.
     void recordMeasurement(RequestClassIndex requestClass, double load);
 
     void store(LearnedFleetState& learned) const;
-    // The learned state may have fewer classes: set their count again.
+    // The learned state may have fewer classes: the caller calls setClassCount() again afterwards.
     void restore(const LearnedFleetState& learned);
 
   private:
-    std::vector<double> meanByClass_;  // 0: none was measured
+    std::vector<double> meanByClass_;  // 0: no measurement yet
     double typical_ = LearnedFleetState{}.typicalLoad;
-    double arrivals_ = 0.0;  // that typical_ is the mean of
+    double arrivals_ = 0.0;  // number of arrivals in the mean typical_
 };
 
 }  // namespace ivyreel
--- a/src/decision/endpoint.hpp
+++ b/src/decision/endpoint.hpp
@@ -1,7 +1,8 @@
-// The state of one endpoint as this node sees it: its entry in the endpoint list, what its reports and health
-// checks showed, and what this node has there.
+// The state of one endpoint as this node knows it: its entry in the endpoint list, the results of its load
+// reports and health checks, and this node's attempts and connections to it.
 //
-// Utilisation is in per cent of capacity, 0 to 100; load is microseconds of work a second.
+// Utilisation is in per cent of capacity, 0 to 100. Loads are in microseconds of work per second, except
+// LearnedEndpointState::load, which is the reported load over capacity.
 #pragma once
 
 #include <chrono>
@@ -14,40 +15,40 @@
 namespace ivyreel {
 
 inline constexpr double kFullUtilisation = 100.0;                     // per cent
-inline constexpr Micros kReportLifetime = std::chrono::seconds(5);    // older reports no longer count
-inline constexpr Micros kReportLag = std::chrono::milliseconds(700);  // usual age of a report's values
-inline constexpr int kUnhealthyAfterFailures = 2;  // health checks in a row: one may be lost by chance
+inline constexpr Micros kReportLifetime = std::chrono::seconds(5);    // older reports are ignored
+inline constexpr Micros kReportLag = std::chrono::milliseconds(700);  // usual age of the values in a report
+inline constexpr int kUnhealthyAfterFailures = 2;  // consecutive health checks; one may fail by chance
 
-// A send that the endpoint's last report cannot show yet.
+// An attempt or connection that the endpoint's last load report cannot include yet.
 struct RecentSend {
     RequestId request;
     Time sentAt;
     double load;
-    bool fromAnotherNode;  // the client had its connection at another node: the reports show its load already
+    bool fromAnotherNode;  // the client was connected through another node, so reports include its load
 };
 
 struct HealthCheckState {
-    Time extraCheckAt{Time::max()};  // time of a further check, while the endpoint is in doubt
-    Time startedAt{0};               // of the last one
-    double intervalFactor = 0.0;     // part of the interval until the next steady check; 0 before the first
+    Time extraCheckAt{Time::max()};  // start of an additional check; max: none
+    Time startedAt{0};               // start of the last check
+    double intervalFactor = 0.0;     // of the interval, until the next periodic check; 0: no check yet
     bool outstanding = false;
-    int consecutiveUnanswered = 0;  // in a row that brought nothing back at all
+    int consecutiveUnanswered = 0;  // consecutive checks without any response
 };
 
-// Invariants: ownLoad is 0 while ownConnections is 0; recentSends are in the order of their times.
+// Invariants: ownLoad is 0 while ownConnections is 0; recentSends are ordered by sentAt.
 struct Endpoint : LearnedEndpointState {
     EndpointEntry entry;
     bool listed = false;
-    Time warmingUpSince{0};  // start of its process, as far as this node counts it
+    Time warmingUpSince{0};  // start of its process, or the arrival of the list entry if that is earlier
     HealthCheckState healthCheck;
     std::vector<RecentSend> recentSends;
-    double ownLoad = 0.0;    // of this node's connections
-    int ownConnections = 0;  // likewise, attempts included
+    double ownLoad = 0.0;    // load of this node's connections and attempts
+    int ownConnections = 0;  // number of this node's connections and attempts
 };
 
-// Counts an attempt or connection of this node in.
+// Adds an attempt or connection of this node to the endpoint's counters.
 void addConnection(Endpoint& endpoint, double load);
-// Counts it out; then it is no longer on its way into the endpoint's reports.
+// Removes an attempt or connection from the endpoint's counters and recent sends.
 void removeConnection(Endpoint& endpoint, RequestId request, double load);
 
 inline bool hasFreshReport(const Endpoint& endpoint, Time now) {
@@ -62,7 +63,7 @@
     return endpoint.entry.availability == Availability::Draining;
 }
 
-// Load of all recent sends of this node.
+// The load of all recent sends of this node.
 inline double recentLoad(const Endpoint& endpoint) {
     double sum = 0.0;
     for (const RecentSend& send : endpoint.recentSends)
@@ -70,7 +71,7 @@
     return sum;
 }
 
-// Load of the recent sends that are new to the fleet.
+// The load of the recent sends whose clients were not connected through another node before.
 inline double recentNewLoad(const Endpoint& endpoint) {
     double sum = 0.0;
     for (const RecentSend& send : endpoint.recentSends)
@@ -78,7 +79,7 @@
     return sum;
 }
 
-// Load of this node that the endpoint's last report shows.
+// The part of this node's load that the endpoint's last report includes.
 inline double reportedOwnLoad(const Endpoint& endpoint) {
     return endpoint.ownLoad - recentLoad(endpoint);
 }
--- a/src/decision/endpoint_list_polling.hpp
+++ b/src/decision/endpoint_list_polling.hpp
@@ -1,5 +1,5 @@
-// Decides when the endpoint list is to be polled or watched again: at once after the start, with exponential
-// backoff and jitter after failures, and again where no answer comes at all.
+// Decides when to poll the endpoint list again: after a failure with exponential backoff and jitter, and
+// after a poll without any response. The caller makes the first poll at the start.
 #pragma once
 
 #include "decision/types.hpp"
@@ -9,9 +9,11 @@
 
 class EndpointListPolling {
   public:
-    // `maxPollInterval`: a list that is older counts as stale.
+    // `maxPollInterval` is the age from which the list counts as stale. A poll without a response is repeated
+    // after half of it.
     void recordPoll(Time now, Micros maxPollInterval);
     void recordFailure(Time now, Micros maxPollInterval, SplitMix64& random);
+    // Resets the backoff. The list is watched from then on, so no further poll is due.
     void recordSuccess();
     bool isDue(Time now) const { return now >= dueAt_; }
 
--- a/src/decision/endpoint_supervision.hpp
+++ b/src/decision/endpoint_supervision.hpp
@@ -1,5 +1,5 @@
-// Watches over the endpoints: starts health checks, learns from load reports, and migrates connections off
-// endpoints that are overloaded, silent or draining.
+// Starts health checks of endpoints, processes their load reports, and migrates connections off endpoints
+// that are overloaded, unresponsive or draining.
 #pragma once
 
 #include "decision/decision_state.hpp"
@@ -9,14 +9,14 @@
 namespace ivyreel {
 
 void startDueHealthChecks(DecisionState& state, Step step);
-// There is none outstanding for the endpoint.
+// Precondition: no health check of the endpoint is outstanding.
 void startHealthCheck(DecisionState& state, Endpoint& endpoint, Step step);
 
-// Takes a report into all that is learned from it, and relieves the endpoint if it is overloaded. May end
-// requests, by migration.
+// Updates the endpoint and all estimates from a load report, and migrates connections off the endpoint if it
+// is overloaded. Migration erases the migrated requests from the request table.
 void takeLoadReport(DecisionState& state, Endpoint& endpoint, const LoadReport& report, Step step);
 
-// One pass of the endpoint timer.
+// Migrates connections off unresponsive and draining endpoints; runs in each pass of the endpoint timer.
 void evacuateEndpoints(DecisionState& state, Step step);
 
 }  // namespace ivyreel
--- a/src/decision/endpoint_table.cpp
+++ b/src/decision/endpoint_table.cpp
@@ -37,11 +37,11 @@
     const bool isNew = find(entry.id) == nullptr;
     Endpoint& endpoint = findOrAdd(entry.id);
     if (isNew || endpoint.entry.startedAt != entry.startedAt) {
-        // A restart under the same id: what was known of the old process does not count.
+        // A new process under the same id: the learned state of the old process is discarded.
         Endpoint restarted;
         restarted.ownLoad = endpoint.ownLoad;
         restarted.ownConnections = endpoint.ownConnections;
-        // A start in the future is no reason to wait for it.
+        // A start time in the future does not postpone the warm-up.
         restarted.warmingUpSince = std::min(entry.startedAt, now);
         restarted.slowStartTurnsFrom = std::max(restarted.warmingUpSince, nodeStartedAt);
         endpoint = std::move(restarted);
--- a/src/decision/endpoint_table.hpp
+++ b/src/decision/endpoint_table.hpp
@@ -1,8 +1,8 @@
-// All endpoints that this node knows, by id: updates of the endpoint list, operators' bans, and who may get
-// new connections.
+// All endpoints that this node knows, by id. Applies updates of the endpoint list and bans by operators, and
+// tells which endpoints may get new connections.
 //
-// Invariants: the endpoints are in the order of their ids; one that has left the list stays while this node
-// has connections there.
+// Invariants: the endpoints are ordered by id; an endpoint that was removed from the list stays in the table
+// while this node has connections or attempts there.
 #pragma once
 
 #include <cstddef>
@@ -17,40 +17,40 @@
 
 class EndpointTable {
   public:
-    // Takes a list that did not fail. `nodeStartedAt` is the start of this node: slow-start turns from before
-    // it are used up.
+    // Applies an update of any kind but Failed. `nodeStartedAt` is the start of this node: slow-start turns
+    // from before this time count as used.
     void apply(const EndpointListChanged& list, WeightKind weightKind, Time now, Time nodeStartedAt);
 
     const Endpoint* find(EndpointId id) const;
     Endpoint* find(EndpointId id);
-    // Adds an endpoint that is not listed. Invalidates references to others.
+    // Adds an unlisted endpoint if the id is unknown; this invalidates references to other endpoints.
     Endpoint& findOrAdd(EndpointId id);
 
-    // Departure, bans by operators: whatever the list says, a banned endpoint is out of every selection until
-    // the ban ends. Prevents that new connections go where operators are at work. Its connections stay, they
-    // may well end before the endpoint does: migrated at once, they crowd a fleet that has just lost an
-    // endpoint.
+    // Departure, bans by operators: a banned endpoint is excluded from every selection until the ban is
+    // lifted, whatever the endpoint list says. This prevents new connections to an endpoint under
+    // maintenance. Its open connections are not migrated: many end before the endpoint stops, and migrating
+    // all of them at once would overload a fleet that has just lost an endpoint.
     void setBanned(EndpointId id, bool banned);
 
-    // Whether it is listed as ready and not banned.
+    // Whether the endpoint is listed as ready and not banned.
     bool isReady(const Endpoint& endpoint) const {
         return endpoint.listed && endpoint.entry.availability == Availability::Ready && !isBanned(endpoint);
     }
-    // Whether it is ready and healthy.
+    // Whether the endpoint is ready and healthy.
     bool isUsable(const Endpoint& endpoint) const { return isReady(endpoint) && !isUnhealthy(endpoint); }
-    // How many listed ones are banned or unhealthy.
+    // The number of listed endpoints that are banned or unhealthy.
     std::size_t avoidedCount() const;
 
-    // The mean listed size of an endpoint, in its capacity units; 0 where the list tells none.
+    // The mean listed size of an endpoint, in capacity units; 0 if the list states no sizes.
     double meanListedSize() const { return meanListedSize_; }
-    // The endpoint's listed size over the mean; one without a size counts as average.
+    // The endpoint's listed size over the mean; 1 if the list states no valid size.
     double relativeSize(const Endpoint& endpoint) const {
         return meanListedSize_ > 0.0 && endpoint.entry.capacityUnits > 0.0
                    ? endpoint.entry.capacityUnits / meanListedSize_
                    : 1.0;
     }
 
-    // Forgets the sends before this time, which no report will show any more.
+    // Removes the recent sends from before this time.
     void removeSendsBefore(Time time);
 
     std::size_t size() const { return endpoints_.size(); }
--- a/src/decision/events.hpp
+++ b/src/decision/events.hpp
@@ -1,4 +1,5 @@
-// Events: the input of the decision module. Plain values; the time is given beside each.
+// Events: the input of the decision module. Events are plain values; the time of an event is passed
+// separately.
 #pragma once
 
 #include <optional>
@@ -11,26 +12,26 @@
 
 namespace ivyreel {
 
-// The simulator's wire has the values in this order.
+// The simulator protocol transmits the position of the value: the order must not change.
 enum class EndpointListKind {
     Delta,   // the entries that changed
     Full,    // all entries
-    Cached,  // all entries as they were known before the start
+    Cached,  // all entries, as stored before the start of this node
     Failed,  // a poll or watch failed; there are no entries
 };
 
-// An entry of the endpoint list.
+// One entry of the endpoint list.
 struct EndpointEntry {
     EndpointId id{};
     ZoneIndex zone{};
     KindIndex kind{};
     CellId cell{};
-    double capacityUnits = 1.0;  // their meaning is the settings' WeightKind
+    double capacityUnits = 1.0;  // Settings::weightKind defines the unit
     Availability availability = Availability::Ready;
-    Time startedAt{0};  // 0: long ago
+    Time startedAt{0};  // start of its process; 0: unknown, long ago
 };
 
-// What an endpoint reports of its load; a value that it does not report is empty.
+// The load values that an endpoint reports; unreported values are empty.
 struct LoadReport {
     std::optional<double> loadOverCapacity;
     std::optional<double> backlogSeconds;
@@ -42,7 +43,7 @@
     std::optional<double> errorsPerSecond;
 };
 
-// The first event, given once.
+// The first event; delivered once, when the node starts.
 struct Started {};
 
 struct EndpointListChanged {
@@ -56,13 +57,13 @@
     TenantIndex tenant{};
     GroupId group{};
     FlowKey key{};
-    std::optional<double> loadHint;  // microseconds of work a second
+    std::optional<double> loadHint;  // microseconds of work per second
     Micros clientTimeout{0};
-    bool midFlow = false;       // packets of a connection that another node had
-    bool reconnecting = false;  // its client had a connection that was migrated or lost
+    bool midFlow = false;       // packets of a connection that another node handled before
+    bool reconnecting = false;  // an earlier connection of the client was migrated or lost
 };
 
-// A connection that was open before this node started.
+// A connection that was already open when this node started.
 struct ConnectionResumed {
     RequestArrived request;
     EndpointId endpoint{};
@@ -72,29 +73,29 @@
     RequestId request{};
     AttemptIndex attempt{};
     EndpointId endpoint{};
-    Micros elapsed{0};  // since the attempt began
+    Micros elapsed{0};  // since the start of the attempt
 };
 
 struct ConnectionLoadMeasured {
     RequestId request{};
     EndpointId endpoint{};
-    double load = 0.0;  // microseconds of work a second
+    double load = 0.0;  // microseconds of work per second
 };
 
 struct MessageDelayMeasured {
     RequestId request{};
     EndpointId endpoint{};
-    double messageMs = 0.0;
+    double messageMs = 0.0;  // delay of a message, milliseconds
 };
 
-// An attempt failed, or a connection that was established ended.
+// An attempt failed, or an established connection ended.
 struct AttemptEnded {
     RequestId request{};
     AttemptIndex attempt{};
     EndpointId endpoint{};
     Outcome outcome = Outcome::Ok;
     Micros elapsed{0};
-    bool requestEnded = false;  // nothing more is to be done for the request
+    bool requestEnded = false;  // the request needs no further attempt and no answer
     std::optional<LoadReport> report;
 };
 
@@ -113,18 +114,18 @@
     std::optional<LoadReport> report;
 };
 
-// An endpoint gets no new connections, whatever the list says, or gets them again.
+// An operator bans an endpoint from new connections, whatever the endpoint list says, or lifts the ban.
 struct EndpointBanChanged {
     EndpointId endpoint{};
     bool banned = true;
 };
 
-// This node continues with the learned state of its predecessor.
+// This node takes over the learned state of its predecessor.
 struct LearnedStateInherited {
     LearnedState learnedState;
 };
 
-// Classes and tenants keep their indices; further ones may have been added.
+// Existing classes and tenants keep their indices; new ones may follow them.
 struct SettingsChanged {
     Settings settings;
 };
--- a/src/decision/fleet_capacity_estimate.cpp
+++ b/src/decision/fleet_capacity_estimate.cpp
@@ -10,10 +10,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kPoolingTime = 60s;             // endpoints do not change; which of them are listed does
-constexpr double kPriorConnectionSeconds = 200;  // twenty connections over ten seconds
-constexpr double kCore = 1e6;                    // microseconds of work a second: listed sizes are in cores
-constexpr double kMaxCapacity = 64e6;            // microseconds of work a second: a new node sees little
+constexpr Micros kPoolingTime = 60s;  // endpoint sizes are constant, but the set of listed endpoints changes
+constexpr double kPriorConnectionSeconds = 200;  // weight of the default: twenty connections over ten seconds
+constexpr double kCore = 1e6;                    // microseconds of work per second; listed sizes are in cores
+constexpr double kMaxCapacity = 64e6;  // microseconds of work per second; a new node has few samples
 
 }  // namespace
 
--- a/src/decision/fleet_capacity_estimate.hpp
+++ b/src/decision/fleet_capacity_estimate.hpp
@@ -1,5 +1,5 @@
-// The capacity of a typical endpoint, in microseconds of work a second, learned from what the endpoints
-// report and what this node has there.
+// Estimates the capacity of a typical endpoint, in microseconds of work per second, from the endpoints' load
+// reports and this node's connections to them.
 #pragma once
 
 #include "decision/learned_state.hpp"
@@ -7,33 +7,35 @@
 
 namespace ivyreel {
 
-inline constexpr double kMinCapacity = 2e6;  // microseconds of work a second: two cores, the least endpoint
-// Where nothing tells the size: the geometric mean of the least and the largest.
+// Microseconds of work per second: two cores, the smallest endpoint.
+inline constexpr double kMinCapacity = 2e6;
+// Microseconds of work per second, used where no size is listed: the geometric mean of the smallest and the
+// largest endpoint.
 inline constexpr double kDefaultCapacity = 11e6;
 
-// What the endpoints with fresh reports show together.
+// Sums over the endpoints with fresh reports.
 struct FleetLoadSample {
-    double work = 0.0;              // of all nodes' connections, microseconds of work a second
-    double loadOverCapacity = 0.0;  // sum of the reports
+    double work = 0.0;              // of all nodes' connections, microseconds of work per second
+    double loadOverCapacity = 0.0;  // sum of the reported values
     int ownConnections = 0;
 };
 
 class FleetCapacityEstimate {
   public:
-    // The sample held for `spanSeconds`.
+    // Adds a sample that was valid for `spanSeconds`.
     void add(const FleetLoadSample& sample, double spanSeconds);
 
-    // Departure, a steady capacity: what a typical endpoint carries is pooled over a minute, and until much
-    // was seen it is the mean listed size, in cores, or `guess` where that is 0. Prevents that a node goes by
-    // a moment in which it has little load: others restart, itself has, or of hundreds it holds a connection
-    // or two.
+    // Departure, a steady capacity: the samples of a minute determine the capacity of a typical endpoint.
+    // While the samples cover few connections, the result is close to the mean listed size, in cores, or to
+    // `defaultCapacity` where that mean is 0. This prevents a wrong estimate while the node has little load:
+    // after a restart of other nodes or its own, or where it has one or two of hundreds of connections.
     double typicalCapacity(double defaultCapacity, double meanListedSize) const;
 
     void store(LearnedFleetState& learned) const;
     void restore(const LearnedFleetState& learned);
 
   private:
-    // Sums that age over a minute, each times seconds.
+    // Sums of value times seconds, decaying exponentially with a time constant of a minute.
     double workSeconds_ = 0.0;
     double loadSeconds_ = 0.0;
     double connectionSeconds_ = 0.0;
--- a/src/decision/fleet_snapshot.cpp
+++ b/src/decision/fleet_snapshot.cpp
@@ -12,17 +12,17 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kRecentSendWindow = 2s;   // own sends in it tell what other nodes send now
-constexpr double kMaxSampleSeconds = 1.0;  // that one sample of the capacity counts
+constexpr Micros kRecentSendWindow = 2s;   // this node's sends in this window indicate what other nodes send
+constexpr double kMaxSampleSeconds = 1.0;  // maximum time for which one capacity sample counts
 
 // Sums over the listed endpoints.
 struct FleetTotals {
     double utilisation = 0.0;
-    double load = 0.0;  // over capacity
+    double load = 0.0;  // reported load over capacity
     double spareUtilisation = 0.0;
     double departedLoad = 0.0;
-    double ownLoad = 0.0;         // shown by reports, fresh or not
-    double ownLoadOfFresh = 0.0;  // shown by fresh reports
+    double ownLoad = 0.0;         // included in reports, fresh or not
+    double ownLoadOfFresh = 0.0;  // included in fresh reports
     double activeRequests = 0.0;
     int ownConnections = 0;
     int freshReports = 0;
@@ -68,8 +68,9 @@
     return totals;
 }
 
-// The endpoints' own counts tell how much work there is in all; where they are not reported, the other nodes
-// are taken to have as much each as this one.
+// The work of all nodes' connections, in microseconds per second, from the numbers of active requests that
+// the endpoints report. Where these are not reported, each other node is assumed to have as much work as this
+// one.
 double workOfAllNodes(const FleetTotals& totals, std::uint32_t nodes) {
     if (totals.activeRequests > 0 && totals.ownConnections > 0)
         return totals.activeRequests * totals.ownLoadOfFresh / totals.ownConnections;
--- a/src/decision/fleet_snapshot.hpp
+++ b/src/decision/fleet_snapshot.hpp
@@ -1,5 +1,5 @@
-// Figures of the whole fleet that the estimates of single endpoints build on, and when they are computed
-// anew.
+// Aggregates over the whole fleet, on which the estimates for single endpoints are based, and their
+// recomputation.
 #pragma once
 
 #include "decision/arrival_rate.hpp"
@@ -12,29 +12,28 @@
 
 namespace ivyreel {
 
-// Per cent: the draft's value where nothing is known (9.1.2).
+// Per cent; the draft's value for an unknown utilisation (9.1.2).
 inline constexpr double kUnknownUtilisation = 50.0;
 
-// Loads are microseconds of work a second, utilisations per cent.
+// Loads are in microseconds of work per second, utilisations in per cent.
 struct FleetSnapshot {
-    double meanUtilisation = kUnknownUtilisation;  // of the fresh reports
+    double meanUtilisation = kUnknownUtilisation;  // mean of the fresh reports
     double spareUtilisation = 0.0;  // of all usable endpoints, weighted by their effective capacity
-    double departedLoad = 0.0;      // at each endpoint: what has come here from other nodes since its report
-    double sendRate = 0.0;          // load that this node sends a second
-    int recentSendCount = 0;        // its sends of the last moments
-    double capacityPerLoad =
-        1.0 / kDefaultCapacity;  // part of an endpoint's capacity that one unit of load takes
+    double departedLoad = 0.0;      // per endpoint, of clients that came from other nodes since its report
+    double sendRate = 0.0;          // load that this node sends per second
+    int recentSendCount = 0;        // number of this node's sends in the last seconds
+    double capacityPerLoad = 1.0 / kDefaultCapacity;  // share of a typical capacity per unit of load
 };
 
 class FleetMonitor {
   public:
-    // The snapshot as it was computed last.
+    // Returns the snapshot that was computed last.
     const FleetSnapshot& snapshot() const { return snapshot_; }
-    // The same, first computed anew if anything was reported or sent, or time has passed, since the last
-    // time.
+    // Returns the snapshot; recomputes it first if a report or a send followed the last computation, or time
+    // has passed since.
     const FleetSnapshot& refresh(const DecisionContext& context, const ArrivalRate& arrivals);
 
-    // A report arrived, or learned state changed.
+    // Marks the snapshot as outdated: a report arrived, or learned state changed.
     void invalidate() { outdated_ = true; }
     void recordSend(const RecentSend& send);
     void removeSend(RequestId request) { sendRate_.removeSend(request); }
--- a/src/decision/health_check_schedule.cpp
+++ b/src/decision/health_check_schedule.cpp
@@ -10,13 +10,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kMinInterval = 1s;              // the draft lets a load report change once a second (9.2.1)
-constexpr Micros kMaxInterval = 4500ms;          // a late answer still comes before the report is 5 s old
-constexpr double kChecksPerRequest = 4.0;        // steady checks of all endpoints: no more
-constexpr Micros kConfirmationInterval = 250ms;  // the draft's own interval (9.1.1)
-constexpr double kLateMultiple = 1.5;  // of the mean round trip: the network alone takes so much longer,
-constexpr double kLateMarginMicros = 2'000;  // and so little is chance
-constexpr double kRoundTripWeight = 0.4;     // of one check in the mean round trip
+constexpr Micros kMinInterval = 1s;        // a load report changes at most once a second (draft, 9.2.1)
+constexpr Micros kMaxInterval = 4500ms;    // even a late answer arrives before the last report is 5 s old
+constexpr double kChecksPerRequest = 4.0;  // maximum of periodic checks of all endpoints per request
+constexpr Micros kConfirmationInterval = 250ms;  // the draft's health check interval (9.1.1)
+constexpr double kLateMultiple = 1.5;        // of the mean round trip; the network alone causes such delays
+constexpr double kLateMarginMicros = 2'000;  // added to the limit; smaller differences are random
+constexpr double kRoundTripWeight = 0.4;     // weight of one check in the mean round trip
 
 void recordAnswer(Endpoint& endpoint, double roundTripMicros, bool confirmIfLate, Time now) {
     endpoint.healthCheckFailures = 0;
--- a/src/decision/health_check_schedule.hpp
+++ b/src/decision/health_check_schedule.hpp
@@ -1,5 +1,5 @@
-// When endpoints are health-checked: steadily, in a phase of its own for each, and sooner while one is in
-// doubt; and what a result says of the endpoint's health.
+// Decides when endpoints are health-checked, periodically with a random offset per endpoint and sooner where
+// the health of an endpoint is uncertain, and updates an endpoint from the result of a health check.
 #pragma once
 
 #include <cstddef>
@@ -14,30 +14,35 @@
 
 namespace ivyreel {
 
-// So few nodes that an endpoint still gets no more than one steady check a second in all.
+// Whether the fleet has so few nodes that an endpoint gets at most one periodic check per second from all
+// nodes together.
 bool isSmallFleet(std::uint32_t nodes);
 
-// The interval at which all endpoints can be checked for a few checks a request; none if that is too long.
+// Returns the interval of the periodic checks of all endpoints, so that a request causes only a few checks.
+// Returns nothing if the fleet is large and the interval is too long to keep reports fresh.
 std::optional<Micros> periodicHealthCheckInterval(std::size_t endpoints, double arrivalsPerSecond,
                                                   std::uint32_t nodes);
 
-// Departure, health checks on demand: a node that sees a small part of the traffic of a large fleet (it has
-// no steady interval) checks steadily where it has connections, and the others when a selection needs their
-// load. Prevents that health checks outnumber requests by hundreds and take the endpoints' capacity.
+// Departure, health checks on demand: a node that handles a small part of the traffic of a large fleet (it
+// has no periodic interval) periodically checks only the endpoints that it has connections to or that fail
+// health checks. It checks other endpoints when a selection needs their load. This prevents health checks
+// from outnumbering requests by hundreds and consuming the endpoints' capacity.
 bool isHealthCheckDue(const Endpoint& endpoint, std::optional<Micros> periodicInterval, Time now);
 
+// Records that a health check starts now, and draws the random offset of the first one.
 void recordHealthCheckStart(Endpoint& endpoint, Time now, SplitMix64& random);
 
-// Departure, confirmation: an endpoint in doubt (it failed, or is late) is checked at the draft's own pace,
-// until it answers well or is surely lost. Prevents that connections wait on a broken link, a dead endpoint
-// or a slow one.
+// Departure, confirmation: an endpoint that failed an attempt or a health check, or answered one late, is
+// checked again after the draft's health check interval, until a check succeeds or the endpoint is certainly
+// unhealthy. This prevents connections from waiting on a broken link or on a dead or slow endpoint.
 void scheduleConfirmation(Endpoint& endpoint, Time now);
 
-// Departure, immediate check: an endpoint whose messages miss their objective is checked at once. Prevents
-// that it piles up work until the steady check of a large fleet comes round, and relief with it.
+// Departure, immediate check: an endpoint whose messages miss their latency objective is checked at once,
+// unless a check started very recently. This prevents a growing backlog until the next periodic check of a
+// large fleet, whose load report triggers the migration of connections.
 void scheduleImmediateCheck(Endpoint& endpoint, Time now);
 
-// The health check ended. Its load report is for load_report_handling.
+// Updates the endpoint's health from a completed check. load_report_handling processes the load report.
 void recordHealthCheckResult(Endpoint& endpoint, const HealthCheckCompleted& result, const Settings& settings,
                              Time now);
 
--- a/src/decision/kind_capacity.cpp
+++ b/src/decision/kind_capacity.cpp
@@ -5,9 +5,10 @@
 namespace ivyreel {
 namespace {
 
-// Reports of so many full endpoints tell as much of a kind as the other kinds do.
+// The sum of reported load over capacity at which the reports of a kind weigh as much as the other kinds and
+// the default.
 constexpr double kPriorLoad = 1.0;
-constexpr double kReportWeight = 0.005;  // of one report in the sums
+constexpr double kReportWeight = 0.005;  // weight of one report in the sums
 
 }  // namespace
 
--- a/src/decision/kind_capacity.hpp
+++ b/src/decision/kind_capacity.hpp
@@ -1,4 +1,4 @@
-// How many connections an endpoint of each kind carries at full capacity, learned from load reports.
+// Estimates how many connections an endpoint of each kind carries at full capacity, from load reports.
 #pragma once
 
 #include <map>
@@ -10,17 +10,18 @@
 
 class KindCapacityEstimate {
   public:
-    // The report of an endpoint that is neither slow nor warming up; its size is relative to the mean.
+    // Records the last report of an endpoint that is neither slow nor warming up. `relativeSize` is the
+    // endpoint's size over the mean size.
     void recordReport(const Endpoint& endpoint, double relativeSize);
 
-    // Of an endpoint of this size and kind. Of a kind that is little known: as many as the least of the
-    // others, and no more than `guess`.
+    // Returns the number of connections for an endpoint of this kind and size. Where the kind has few
+    // reports, the result is close to the minimum of `defaultConnections` and the values of the other kinds.
     double connectionsAtCapacity(KindIndex kind, double relativeSize, double defaultConnections) const;
 
   private:
     struct Sums {
         double connections = 0.0;
-        double load = 0.0;  // over capacity, times the relative size
+        double load = 0.0;  // load over capacity, times the relative size
     };
     std::map<KindIndex, Sums> sums_;
 };
--- a/src/decision/learned_state.hpp
+++ b/src/decision/learned_state.hpp
@@ -1,4 +1,5 @@
-// What a node has learned of its endpoints and of the fleet, in a form that another node can go on with.
+// The estimates that a node has learned of its endpoints and of the fleet, in a form that its successor can
+// adopt.
 #pragma once
 
 #include <vector>
@@ -12,37 +13,37 @@
     bool reported = false;
     Time reportedAt{0};
     int utilisation = 0;           // per cent, 0 to 100
-    double load = 0.0;             // over capacity, not clamped
-    double activeRequests = 0.0;   // of all nodes, as the endpoint reports them
-    double slowdown = 1.0;         // load over capacity, by what a typical endpoint would show for the same
-    double setupSlowdown = 1.0;    // time to set a connection up, by the typical one
-    double roundTripMicros = 0.0;  // as health checks show
+    double load = 0.0;             // load over capacity, not clamped to 1
+    double activeRequests = 0.0;   // of all nodes, as reported by the endpoint
+    double slowdown = 1.0;         // reported load over that of a typical endpoint with the same connections
+    double setupSlowdown = 1.0;    // connection set-up time over the typical one
+    double roundTripMicros = 0.0;  // mean of the health checks
     // From health checks and attempts.
-    int healthCheckFailures = 0;  // in a row
+    int healthCheckFailures = 0;  // consecutive
     double successRate = 1.0;     // of recent attempts
     Time lastLateMessageAt{Time::min() / 2};
-    // Pacing.
-    Time slowStartTurnsFrom{0};  // slow-start turns from before this time are used up
-    Time nextMigrationAt{0};     // no relief of this endpoint before
+    // Times that limit slow start and migration.
+    Time slowStartTurnsFrom{0};  // slow-start turns from before this time count as used
+    Time nextMigrationAt{0};     // overload relief of this endpoint starts no earlier
 };
 
 struct LearnedFleetState {
-    double saturationThreshold = 0.0;  // load over capacity at which messages begin to be late
-    // Sums that age over a minute, each times seconds:
-    double workSeconds = 0.0;               // work of all nodes, microseconds a second
-    double loadSeconds = 0.0;               // load over capacity that the endpoints reported meanwhile
+    double saturationThreshold = 0.0;  // load over capacity at which messages start to be late
+    // Sums of value times seconds, decaying exponentially with a time constant of a minute:
+    double workSeconds = 0.0;               // work of all nodes, microseconds per second
+    double loadSeconds = 0.0;               // load over capacity that the endpoints report
     double connectionSeconds = 0.0;         // this node's connections
-    double arrivalRate = 0.0;               // of this node's requests, a second
-    double setupMicros = 0.0;               // mean time to set a connection up
-    double typicalSetupMicros = 0.0;        // likewise, without the round trips
-    double typicalLoad = 40'000;            // of one connection, microseconds of work a second
-    std::vector<double> meanLoadByClass{};  // of a connection, microseconds of work a second
+    double arrivalRate = 0.0;               // of this node's requests, per second
+    double setupMicros = 0.0;               // mean time to set up a connection
+    double typicalSetupMicros = 0.0;        // typical time to set up a connection, without the round trips
+    double typicalLoad = 40'000;            // of one connection, microseconds of work per second
+    std::vector<double> meanLoadByClass{};  // of one connection, microseconds of work per second
 };
 
 struct LearnedState {
     struct EndpointRecord {
         EndpointId id{};
-        Time startedAt{0};  // of the process that this was learned of
+        Time startedAt{0};  // start of the process that this state describes
         LearnedEndpointState state;
     };
     LearnedFleetState fleet;
--- a/src/decision/load_polling.cpp
+++ b/src/decision/load_polling.cpp
@@ -7,9 +7,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kAnswerTimeout =
-    150ms;  // several round trips; an endpoint that answers later is passed over
-constexpr std::size_t kMaxPollsPerRequest = 4;  // over nine in ten selections end before
+constexpr Micros kAnswerTimeout = 150ms;  // several round trips; an endpoint that answers later is skipped
+constexpr std::size_t kMaxPollsPerRequest = 4;  // over nine in ten selections need fewer
 
 }  // namespace
 
--- a/src/decision/load_polling.hpp
+++ b/src/decision/load_polling.hpp
@@ -1,4 +1,5 @@
-// Polling of an endpoint's load by a health check on behalf of a request, where its last report is too old.
+// Polls an endpoint's load by a health check on behalf of a request, if the endpoint's last report is too
+// old.
 #pragma once
 
 #include <algorithm>
@@ -11,22 +12,24 @@
 
 namespace ivyreel {
 
-// Whether the endpoint's load is known as well as a poll could tell it.
+// Whether the endpoint's load is known so well that a poll would not improve it.
 inline bool isLoadKnown(const Endpoint& endpoint, const Settings& settings, Time now) {
     constexpr Micros kMaxReportAge = std::chrono::seconds(2);  // two of the draft's report intervals
     const bool pollable = settings.limits.healthChecks && settings.loadReportMode != LoadReportMode::None;
     return !pollable || (endpoint.reported && now - endpoint.reportedAt < kMaxReportAge);
 }
 
+// Whether the request has already polled the endpoint.
 inline bool wasPolledFor(const Request& request, const Endpoint& endpoint) {
     const auto& polled = request.polledEndpoints;
     return std::find(polled.begin(), polled.end(), endpoint.entry.id) != polled.end();
 }
 
-// Whether this request may still poll the endpoint, or waits for the answer.
+// Whether the request may poll the endpoint, or is still waiting for the answer to an earlier poll.
 bool canBePolled(const Endpoint& endpoint, const Request& request, const Settings& settings, Time now);
 
-// The request waits for the endpoint's answer from now on, whoever started the health check.
+// Records that the request waits for the endpoint's answer from now on. The health check may have been
+// started for another reason.
 void recordPoll(Request& request, const Endpoint& endpoint, Time now);
 
 }  // namespace ivyreel
--- a/src/decision/load_report_handling.hpp
+++ b/src/decision/load_report_handling.hpp
@@ -1,4 +1,4 @@
-// Takes a load report into the state of its endpoint.
+// Applies a load report to the state of its endpoint.
 #pragma once
 
 #include "decision/endpoint.hpp"
@@ -7,8 +7,9 @@
 
 namespace ivyreel {
 
-// Utilisation is the reported load over capacity, or else the busy part of the processors. Returns whether
-// the report tells either; sends that it shows are no longer recent then.
+// Sets the utilisation to the reported load over capacity, or to the CPU utilisation if that is not reported.
+// Returns whether the report states either. If so, sends that the report includes are removed from the recent
+// sends.
 bool applyLoadReport(Endpoint& endpoint, const LoadReport& report, Time now);
 
 }  // namespace ivyreel
--- a/src/decision/message_delay.cpp
+++ b/src/decision/message_delay.cpp
@@ -5,7 +5,7 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kLateShare = 0.5;  // of the objective: half of it in the mean leaves many beyond it
+constexpr double kLateShare = 0.5;  // of the objective; at such a mean delay, many messages exceed it
 constexpr double kMicrosPerMs = 1e3;
 
 }  // namespace
--- a/src/decision/message_delay.hpp
+++ b/src/decision/message_delay.hpp
@@ -1,4 +1,4 @@
-// Takes the delays of messages on open connections: which count as late for their endpoint.
+// Records delays of messages on open connections, and decides which count as late for their endpoint.
 #pragma once
 
 #include "decision/endpoint.hpp"
@@ -6,8 +6,8 @@
 
 namespace ivyreel {
 
-// `objective` is the message latency objective of the connection's class; 0: none is stated, all are
-// punctual.
+// `objective` is the message latency objective of the connection's class. If it is 0, none is stated and no
+// message counts as late.
 void recordMessageDelay(Endpoint& endpoint, double delayMs, Micros objective, Time now);
 
 }  // namespace ivyreel
--- a/src/decision/migration.cpp
+++ b/src/decision/migration.cpp
@@ -13,19 +13,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kReliefMargin =
-    0.05;  // load over capacity: endpoints are relieved so far under the threshold
-constexpr double kSlowTargetShare =
-    0.5;                            // of the threshold: a slow endpoint keeps so much, it may get slower
-constexpr Micros kSettleTime = 2s;  // a migration shows in reports after the gap, a report and its lag
-constexpr int kMaxUnansweredHealthChecks = 2;  // unanswered health checks
-constexpr double kEvacuatedShare =
-    0.5;  // of an endpoint's connections a pass: most within a third of a second
-constexpr double kDrainCapacityMultiple =
-    4.0;  // times what drains: of a release the list tells only the beginning
+constexpr double kReliefMargin = 0.05;    // load over capacity that the target is below the threshold
+constexpr double kSlowTargetShare = 0.5;  // of the threshold; a slow endpoint may become slower
+constexpr Micros kSettleTime = 2s;  // until reports show a migration: reconnect gap, report interval and lag
+constexpr int kMaxUnansweredHealthChecks = 2;  // consecutive; an endpoint with more is unresponsive
+// Share of the load on an endpoint that migrates per pass; most of the load migrates within a third of a
+// second.
+constexpr double kEvacuatedShare = 0.5;
+// Multiple of the draining load; at the start of a release, the list shows only the first draining endpoints.
+constexpr double kDrainCapacityMultiple = 4.0;
 
-// Load over capacity, weighted by effective capacity, that the other usable endpoints can take; those without
-// a fresh report are taken to be like the rest.
+// Returns the load over capacity, weighted by effective capacity, that the other usable endpoints can take.
+// Endpoints without a fresh report count as the mean of the others.
 double spareCapacityOfOthers(const Endpoint& endpoint, const DecisionContext& context) {
     const double target = context.saturationThreshold.value() - kReliefMargin;
     double spare = 0.0;
@@ -111,7 +110,8 @@
     std::vector<RequestId> result;
     for (const auto& [group, id] : connections) {
         const double connectionLoad = requests.find(id)->load;
-        // The last one by chance, so that the sum over many nodes with a part each is right.
+        // The last connection is included at random, in proportion to the remaining load, so that the sum
+        // over many nodes matches the excess.
         if (load < connectionLoad * random.next()) break;
         load -= connectionLoad;
         result.push_back(id);
--- a/src/decision/migration.hpp
+++ b/src/decision/migration.hpp
@@ -1,5 +1,5 @@
-// Decides how much load this node migrates off an endpoint, because it is overloaded, silent or draining, and
-// which connections that are. Loads are microseconds of work a second.
+// Decides how much load this node migrates off an endpoint that is overloaded, unresponsive or draining, and
+// which connections it migrates. Loads are in microseconds of work per second.
 #pragma once
 
 #include <optional>
@@ -14,25 +14,26 @@
 
 namespace ivyreel {
 
-// Departure, overload relief: an endpoint that reports more load than it can carry serves nobody well. This
-// node migrates its part of the excess, in the order of the groups, as far as the others have spare capacity.
-// Prevents that the messages of all its connections stay late until some end by themselves. None where there
-// is nothing to relieve, or the last relief cannot show in the reports yet.
+// Departure, overload relief: this node migrates its part of the excess load off an endpoint that reports
+// more load than it can carry, ordered by affinity group, as far as other endpoints have spare capacity; the
+// part above the saturation threshold migrates in any case. This prevents late messages on all connections of
+// the endpoint until some of them end. Returns nothing if the endpoint is not overloaded, has no connections
+// of this node, or was relieved so recently that its reports cannot show the effect yet.
 std::optional<double> overloadRelief(const Endpoint& endpoint, const DecisionContext& context,
                                      const FleetSnapshot& fleet);
 
-// After a relief, until it shows in reports.
+// The time from a migration until load reports show its effect.
 Micros migrationPause(const Endpoint& endpoint, const Settings& settings);
 
-// Departure, evacuation: connections on an endpoint from which nothing comes back are migrated in small steps
-// while others can take them; off one that drains only while the others have ample capacity for all that
-// drains. Prevents that they hang on a broken link or break when an endpoint stops, and that all nodes empty
-// half a fleet at once.
+// Departure, evacuation: connections are migrated in small steps off an unresponsive endpoint while other
+// endpoints can take them, and off a draining endpoint only while the others have a multiple of the capacity
+// that all draining endpoints need. This prevents connections from hanging on a broken link or breaking when
+// an endpoint stops, and prevents all nodes from evacuating half a fleet at once.
 class Evacuation {
   public:
     Evacuation(const DecisionContext& context, const FleetSnapshot& fleet);
 
-    // The load to migrate off this endpoint in one pass of the endpoint timer, if any.
+    // Returns the load to migrate off the endpoint in one pass of the endpoint timer, if any.
     std::optional<double> loadToMigrate(const Endpoint& endpoint) const;
 
   private:
@@ -41,7 +42,8 @@
     bool canDrain_;
 };
 
-// This node's connections at the endpoint that make up the load, in the order of their groups.
+// Returns connections of this node to the endpoint with this total load, ordered by affinity group. The last
+// one is drawn at random, so that the load is right on average.
 std::vector<RequestId> connectionsToMigrate(const RequestTable& requests, EndpointId endpoint, double load,
                                             SplitMix64& random);
 
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -3,15 +3,15 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kAttemptWeight = 0.2;      // of one attempt in the success rate: about five count
-constexpr double kHealthCheckWeight = 0.1;  // back to half the success rate in about 7 s
-constexpr double kMinSuccessRate = 0.05;    // a trickle of attempts, so that recovery is noticed
-constexpr double kSlowdownWeight = 0.4;     // of one report or set-up: two or three decide
-constexpr double kMaxSlowdown = 10.0;       // a tenth of the typical capacity: less is idle
-constexpr double kNegligibleLoad = 0.15;    // load over capacity: so little tells nothing of a slowdown
+constexpr double kAttemptWeight = 0.2;      // of one attempt in the success rate: about five attempts count
+constexpr double kHealthCheckWeight = 0.1;  // of one check: raises the success rate to half in about 7 s
+constexpr double kMinSuccessRate = 0.05;    // keeps a few attempts going, so that recovery is detected
+constexpr double kSlowdownWeight = 0.4;     // weight of one report or set-up: the last two or three dominate
+constexpr double kMaxSlowdown = 10.0;       // a tenth of the typical capacity; less leaves the endpoint idle
+constexpr double kNegligibleLoad = 0.15;    // load over capacity; lower loads do not indicate a slowdown
 constexpr double kNegligibleSetupMicros = 5'000;
-constexpr double kTypicalSetupMultiple = 2.0;  // of the mean: bursts alone make it so much
-constexpr double kSetupTimeWeight = 0.05;      // of one set-up in the means
+constexpr double kTypicalSetupMultiple = 2.0;  // of the typical time; bursts alone cause such times
+constexpr double kSetupTimeWeight = 0.05;      // weight of one set-up in the means
 constexpr double kRoundTripsPerSetup = 2.0;
 
 }  // namespace
@@ -38,7 +38,8 @@
         endpoint.ownConnections - static_cast<double>(endpoint.recentSends.size());
     if (reportedConnections <= 0) return;
     const double own = reportedOwnLoad(endpoint);
-    // Without a count of all nodes' requests, the other nodes are taken to have as much there each.
+    // Without a reported number of requests, each other node is assumed to have as much load there as this
+    // one.
     const double all =
         endpoint.activeRequests > 0 ? endpoint.activeRequests * own / reportedConnections : own * nodes;
     const double expected = all * capacityPerLoad / warmUpShare;
--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -1,8 +1,8 @@
 // Detects endpoints that fail attempts or are slow, from the outcomes of attempts, load reports and set-up
 // times.
 //
-// Results are kept in the endpoint: successRate (0 to 1), slowdown and setupSlowdown (at least 1; 2 means
-// that the endpoint needs twice the time of a typical one).
+// The results are stored in the endpoint: successRate (0 to 1), slowdown and setupSlowdown (at least 1; 2
+// means that the endpoint takes twice as long as a typical one).
 #pragma once
 
 #include <algorithm>
@@ -15,41 +15,47 @@
 
 namespace ivyreel {
 
-// Whether the outcome of an attempt blames the endpoint; a cancelled or rejected one tells nothing of how it
-// does.
+// Whether the outcome of an attempt counts as a failure of the endpoint. Attempts that were cancelled, not
+// sent or rejected do not.
 bool isEndpointFailure(Outcome outcome);
 void recordSuccess(Endpoint& endpoint);
 void recordFailure(Endpoint& endpoint);
-// An answered health check lets the success rate recover slowly.
+// Raises the success rate after an answered health check; it recovers more slowly than by successful
+// attempts.
 void recordAnsweredHealthCheck(Endpoint& endpoint);
 
+// The larger one of the slowdowns by load reports and by set-up times.
 inline double slowdownOf(const Endpoint& endpoint) {
     return std::max(endpoint.slowdown, endpoint.setupSlowdown);
 }
 
-// Whether its slowdown is beyond what chance explains.
+// Whether the slowdown is larger than random variation explains.
 inline bool isSlow(const Endpoint& endpoint, bool groupAffinity) {
-    constexpr double kSlowFrom = 1.3;  // load reports of typical endpoints differ by less
-    // Where groups share work, what a member adds depends on who is there.
+    constexpr double kSlowFrom = 1.3;  // reports of typical endpoints vary less
+    // Where groups share work, the load of a connection depends on which group members are at the same
+    // endpoint.
     constexpr double kSlowFromWithGroups = 3.0;
     return slowdownOf(endpoint) >= (groupAffinity ? kSlowFromWithGroups : kSlowFrom);
 }
 
-// Departure, slow endpoints: one whose reported load stands far above what its connections would cost a
-// typical endpoint is weighted, and charged, by its effective capacity. Prevents that it is overfilled and
-// emptied by turns. `capacityPerLoad` is the part of a typical endpoint's capacity that one unit of load
-// takes, `warmUpShare` the part of its own that the endpoint has; its report has just arrived.
+// Departure, slow endpoints: an endpoint whose reported load is far above the load that its connections cause
+// at a typical endpoint is weighted by its effective capacity, and load that is sent there counts by the same
+// capacity. This prevents alternately overloading and relieving the endpoint. Call this function when a load
+// report of the endpoint has been applied. `capacityPerLoad` is the share of a typical endpoint's capacity
+// that one unit of load takes; `warmUpShare` is the share of its own capacity that the endpoint has at
+// present.
 void learnSlowdown(Endpoint& endpoint, double capacityPerLoad, double warmUpShare, std::uint32_t nodes);
 
-// The times that connections take to be set up, over all endpoints.
+// Mean and typical connection set-up times over all endpoints.
 class SetupTimeEstimate {
   public:
-    // Of a connection to any endpoint, round trips included; microseconds.
+    // Mean set-up time of a connection to any endpoint, including round trips; microseconds.
     double meanMicros() const { return meanMicros_; }
     void recordConnection(Micros elapsed);
 
-    // Departure, slow set-up: the slowdown by how long setting up takes without the round trips. Prevents
-    // that an endpoint without load, whose reports cannot show that it is slow, is filled like the others.
+    // Departure, slow set-up: an endpoint's slowdown is also learned from its connection set-up times,
+    // without the round trips. This prevents a slow endpoint without load, whose reports cannot show the
+    // slowdown, from getting as many connections as the others.
     void learnSetupSlowdown(Endpoint& endpoint, Micros elapsed);
 
     void store(LearnedFleetState& learned) const;
@@ -57,7 +63,7 @@
 
   private:
     double meanMicros_ = 0.0;
-    double typicalMicros_ = 0.0;  // without the round trips
+    double typicalMicros_ = 0.0;  // microseconds, without the round trips
 };
 
 }  // namespace ivyreel
--- a/src/decision/send_rate.cpp
+++ b/src/decision/send_rate.cpp
@@ -11,7 +11,7 @@
 
 constexpr Micros kMinWindow = 2s;
 constexpr Micros kMaxWindow = 10s;
-constexpr double kMinSendsInWindow = 4.0;  // fewer tell nothing of the rate
+constexpr double kMinSendsInWindow = 4.0;  // fewer do not determine a rate
 
 }  // namespace
 
--- a/src/decision/send_rate.hpp
+++ b/src/decision/send_rate.hpp
@@ -1,4 +1,5 @@
-// The load that this node sends to all endpoints, in microseconds of work a second for each second.
+// The rate at which this node sends load to all endpoints. Load is in microseconds of work per second; the
+// rate is load per second.
 #pragma once
 
 #include <vector>
@@ -11,9 +12,10 @@
 class SendRate {
   public:
     void recordSend(const RecentSend& send) { sends_.push_back(send); }
-    // The connection has ended again: it tells nothing of what is on its way.
+    // Removes the send of an ended connection, which adds no load to the endpoints any more.
     void removeSend(RequestId request);
-    // The rate over as many seconds as a few sends take; forgets sends that are too old to count.
+    // Returns the rate over a window that is long enough for a few sends. Removes the sends that are too old
+    // for any window.
     double measure(Time now, double arrivalsPerSecond);
 
   private:
--- a/src/decision/settings.hpp
+++ b/src/decision/settings.hpp
@@ -1,4 +1,4 @@
-// The settings of the decision module, in its own terms. config/settings_parser reads them from their text.
+// The settings of the decision module. config/settings_parser parses them.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,14 @@
 
 namespace ivyreel {
 
-// Whether a request may be sent again after an attempt that may have been executed.
+// Whether a request may be retried after an attempt that may have been executed.
 enum class Idempotency {
-    Idempotent,     // to any endpoint, at any time
-    WithKey,        // where its idempotency key is known, within the deduplication window
-    NonIdempotent,  // never
+    Idempotent,     // may be retried at any endpoint, at any time
+    WithKey,        // may be retried where its idempotency key is known, within the deduplication window
+    NonIdempotent,  // must never be retried
 };
 
-// Which endpoints share their memory of idempotency keys.
+// Which endpoints share the idempotency keys of executed requests.
 enum class DeduplicationScope { All, Zone, Cell };
 
 enum class DiscoveryMode { Push, Poll };
@@ -25,7 +25,7 @@
 // Whether a connection ends at this node (Proxy), or its packets pass through any node (Passthrough).
 enum class ForwardingMode { Proxy, Passthrough };
 
-// What the capacity of an entry of the endpoint list means.
+// What the capacity units of an entry in the endpoint list mean.
 enum class WeightKind { None, Nominal, Rough, Live };
 
 // The settings of a class of requests.
@@ -41,7 +41,7 @@
 
 struct TenantSettings {
     double quotaShare = 1.0;
-    double quotaConnections = 0.0;  // over all nodes; 0: none stated
+    double quotaConnections = 0.0;  // of all nodes together; 0: not stated
 };
 
 // What a node may do for a request.
@@ -57,33 +57,33 @@
 
 // The bounds that operators set for discovery, draining and slow start.
 struct OperatingLimits {
-    Micros responseSlack{0};             // after the client's deadline, in which an answer still counts
-    Micros drainGracePeriod{0};          // after news of a drain, in which a new connection is allowed
-    double slowStartInitialShare = 1.0;  // of its capacity, that a new endpoint has at the least
-    Micros slowStartDuration{0};         // after which it has all of it
-    double overloadMultiple = 1.0;       // of its present capacity: a warming-up endpoint that gets more
-    Micros overloadWindow{1'000'000};    // over this time fails
-    Micros maxPollInterval{10'000'000};  // the endpoint list is older without a poll or a watch: stale
+    Micros responseSlack{0};     // after the client's deadline; an answer within it still counts
+    Micros drainGracePeriod{0};  // after the notice of a drain; new connections are still allowed within it
+    double slowStartInitialShare = 1.0;  // minimum share of its capacity that a new endpoint has
+    Micros slowStartDuration{0};         // until a new endpoint has its full capacity
+    double overloadMultiple = 1.0;       // of its present capacity; a warming-up endpoint that gets more load
+    Micros overloadWindow{1'000'000};    // within this time fails
+    Micros maxPollInterval{10'000'000};  // without a poll or a watch for longer, the endpoint list is stale
 };
 
 struct Settings {
     std::uint64_t seed = 0;
-    std::optional<std::uint32_t> nodeIndex;  // none: not known
-    std::uint32_t nodes = 1;                 // in the fleet
+    std::optional<std::uint32_t> nodeIndex;  // empty: unknown
+    std::uint32_t nodes = 1;                 // number of nodes in the fleet
     ZoneIndex zone{0};                       // of this node
-    Micros resolution{1'000};                // the least time between two batches of events
+    Micros resolution{1'000};                // minimum time between two batches of events
     std::vector<RequestClassSettings> classes;
     std::vector<TenantSettings> tenants;
-    double overQuotaPriorityWeight = 1.0;  // of requests of a tenant that is over its quota
-    double crossZoneCost = 0.02;           // part of a connection's value, for one that crosses zones
-    double availabilityWeight = 0.0;       // part of the objective that counts nines of availability
+    double overQuotaPriorityWeight = 1.0;  // of requests whose tenant exceeds its quota
+    double crossZoneCost = 0.02;  // cost of a connection to another zone, as a share of a connection's value
+    double availabilityWeight = 0.0;  // weight of the nines of availability in the objective
     RequestLimits limits;
     OperatingLimits operatingLimits;
     DiscoveryMode discoveryMode = DiscoveryMode::Push;
     LoadReportMode loadReportMode = LoadReportMode::None;
     WeightKind weightKind = WeightKind::None;
     ForwardingMode forwardingMode = ForwardingMode::Proxy;
-    bool groupAffinity = false;  // members of a group share work where they are at the same endpoint
+    bool groupAffinity = false;  // members of a group share work if they are connected to the same endpoint
 };
 
 }  // namespace ivyreel
--- a/src/decision/span_arithmetic.hpp
+++ b/src/decision/span_arithmetic.hpp
@@ -1,4 +1,4 @@
-// Conversions of spans of time for arithmetic in floating point.
+// Converts durations for floating-point arithmetic.
 #pragma once
 
 #include <chrono>
@@ -7,11 +7,12 @@
 
 namespace ivyreel {
 
+// The duration in seconds.
 inline double seconds(Micros span) {
     return std::chrono::duration<double>(span).count();
 }
 
-// The span times the factor, rounded towards zero.
+// The duration times the factor, rounded towards zero.
 inline Micros scaled(Micros span, double factor) {
     return Micros{static_cast<Micros::rep>(static_cast<double>(span.count()) * factor)};
 }
--- a/src/decision/timers.cpp
+++ b/src/decision/timers.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kEndpointTimerInterval = 100ms;  // well under the time in which a load report changes
-constexpr Micros kRequestTimerInterval = 20ms;    // far under any latency objective, and cheap
+constexpr Micros kEndpointTimerInterval = 100ms;  // well below the interval at which load reports change
+constexpr Micros kRequestTimerInterval = 20ms;    // far below any latency objective, and cheap
 
 }  // namespace
 
--- a/src/decision/timers.hpp
+++ b/src/decision/timers.hpp
@@ -6,12 +6,12 @@
 
 namespace ivyreel {
 
-// Passes over all endpoints: health checks, list polling, migration.
+// Runs a pass over all endpoints: health checks, polling of the endpoint list, migration.
 inline constexpr TimerToken kEndpointTimer{0};
-// Passes over the requests that have no connection; set only while there are some.
+// Runs a pass over the requests without a connection; set only while there are such requests.
 inline constexpr TimerToken kRequestTimer{1};
 
-// Both are no shorter than the resolution of the events.
+// Both intervals are at least the resolution of the events (Settings::resolution).
 Micros endpointTimerInterval(const Settings& settings);
 Micros requestTimerInterval(const Settings& settings);
 
--- a/src/decision/utilisation_estimate.cpp
+++ b/src/decision/utilisation_estimate.cpp
@@ -7,9 +7,10 @@
 
 namespace ivyreel {
 
-// Departure, accounting between reports: to a report is added what was sent since, by this node and as much
-// by each other one, spread as by the weighted selection until own sends tell. Prevents herding onto an
-// endpoint whose report shows little.
+// Departure, accounting between reports: the load that was sent to an endpoint since its last report is added
+// to the report. Each other node is assumed to send as much as this one: while this node has few recent
+// sends, spread over the endpoints in proportion to their weights in the weighted selection, and otherwise as
+// this node's own sends. This prevents herding onto an endpoint whose last report shows little load.
 inline double UtilisationEstimate::sentByOtherNodes(const Endpoint& endpoint, double capacity) const {
     if (fleet_.spareUtilisation <= 0.0) return 0.0;
     const bool fresh = hasFreshReport(endpoint, context_.now);
--- a/src/decision/utilisation_estimate.hpp
+++ b/src/decision/utilisation_estimate.hpp
@@ -1,5 +1,5 @@
-// Estimates the present utilisation of an endpoint, in per cent, from its last report and from what was sent
-// there since, by this node and, as estimated, by the others.
+// Estimates the present utilisation of an endpoint, in per cent, from its last report and the load that this
+// node has sent there since, plus an estimate of what the other nodes have sent.
 #pragma once
 
 #include "decision/decision_context.hpp"
@@ -8,20 +8,20 @@
 
 namespace ivyreel {
 
-// A view of the context and the snapshot, which must outlive it. `capacity` is the endpoint's effective
-// capacity.
+// Holds references to the context and the snapshot, which must outlive it. `capacity` is the endpoint's
+// effective capacity, as a factor of that of a typical endpoint of its size.
 class UtilisationEstimate {
   public:
     UtilisationEstimate(const DecisionContext& context, const FleetSnapshot& fleet)
         : context_(context), fleet_(fleet) {}
 
-    // By the last report; the mean of the fleet where that is not fresh.
+    // The utilisation in the last report; the mean of the fleet if that report is not fresh.
     double reported(const Endpoint& endpoint) const {
         return hasFreshReport(endpoint, context_.now) ? endpoint.utilisation : fleet_.meanUtilisation;
     }
-    // With what was sent since that report.
+    // The reported utilisation, plus the load that was sent since that report.
     double current(const Endpoint& endpoint, double capacity) const;
-    // What this load would add, in per cent.
+    // The utilisation that this load would add, in per cent.
     double added(const Endpoint& endpoint, double load, double capacity) const {
         const double size = context_.endpoints.relativeSize(endpoint);
         return kFullUtilisation * load * fleet_.capacityPerLoad / (size * capacity);
--- a/tests/decision/arrival_rate_test.cpp
+++ b/tests/decision/arrival_rate_test.cpp
@@ -1,4 +1,4 @@
-// The average rate of requests at a node.
+// Tests the average arrival rate of requests at a node.
 #include "decision/arrival_rate.hpp"
 
 #include <gtest/gtest.h>
@@ -50,7 +50,8 @@
     rate.store(learned, kNow + 3s);
     ArrivalRate restored;
     restored.restore(learned, kNow + 60s);
-    EXPECT_DOUBLE_EQ(restored.perSecond(kNow + 60s), rate.perSecond(kNow + 3s)) << "no decay in between";
+    EXPECT_DOUBLE_EQ(restored.perSecond(kNow + 60s), rate.perSecond(kNow + 3s))
+        << "The rate must not decay between storing and restoring.";
     EXPECT_DOUBLE_EQ(restored.perSecond(kNow + 70s), rate.perSecond(kNow + 3s) * std::exp(-1.0));
 }
 
--- a/tests/decision/connection_load_test.cpp
+++ b/tests/decision/connection_load_test.cpp
@@ -1,4 +1,4 @@
-// The expected load of a connection.
+// Tests the expected load of a connection.
 #include "decision/connection_load.hpp"
 
 #include <gtest/gtest.h>
@@ -50,7 +50,7 @@
     ConnectionLoadEstimate estimate = estimateWithClasses(2);
     estimate.recordMeasurement(RequestClassIndex{1}, 80'000);
     EXPECT_DOUBLE_EQ(estimate.expected(requestOf(1)), 42'000);
-    EXPECT_EQ(estimate.expected(requestOf(0)), kInitialLoad) << "another class";
+    EXPECT_EQ(estimate.expected(requestOf(0)), kInitialLoad) << "The measurement belongs to another class.";
 }
 
 TEST(ConnectionLoadEstimate, CapsOutliers) {
@@ -65,7 +65,7 @@
     ConnectionLoadEstimate estimate;
     EXPECT_EQ(estimate.typical(), kInitialLoad);
     estimate.recordArrival(90'000);
-    EXPECT_DOUBLE_EQ(estimate.typical(), 50'000) << "the prior counts as four arrivals";
+    EXPECT_DOUBLE_EQ(estimate.typical(), 50'000) << "The initial load has the weight of four arrivals.";
     for (int i = 0; i < 500; ++i)
         estimate.recordArrival(90'000);
     EXPECT_NEAR(estimate.typical(), 90'000, 1.0);
@@ -86,7 +86,7 @@
     estimate.restore(learned);
     estimate.setClassCount(2);
     EXPECT_EQ(estimate.expected(requestOf(0)), 70'000);
-    EXPECT_EQ(estimate.expected(requestOf(1)), kInitialLoad) << "a class that was not stored";
+    EXPECT_EQ(estimate.expected(requestOf(1)), kInitialLoad) << "This class was not stored.";
     estimate.recordArrival(200'000);
     EXPECT_DOUBLE_EQ(estimate.typical(), 105'000);
 }
--- a/tests/decision/decision_engine_driver.hpp
+++ b/tests/decision/decision_engine_driver.hpp
@@ -1,5 +1,5 @@
-// Drives one decision engine through scenarios: it has a clock, fires the engine's timers, answers its health
-// checks and records its actions.
+// Drives one decision engine through test scenarios: simulates a clock, fires the engine's timers, completes
+// its health checks and records its actions.
 #pragma once
 
 #include <algorithm>
@@ -86,25 +86,25 @@
         answerHealthChecks();
     }
 
-    // From now on health checks of this endpoint succeed and report this load.
+    // Makes health checks of this endpoint succeed from now on, and report this load.
     void setReportedLoad(std::uint64_t id, double loadOverCapacity) {
         healthCheckResults_[EndpointId{id}] = {Outcome::Ok, loadOverCapacity};
     }
-    // Its health checks do not complete at all, as for an endpoint whose load was never set.
+    // Makes health checks of this endpoint never complete, as for an endpoint without a reported load.
     void stopAnsweringHealthChecks(std::uint64_t id) { healthCheckResults_.erase(EndpointId{id}); }
     void setHealthCheckLatency(std::uint64_t id, Micros span) {
         healthCheckLatencies_[EndpointId{id}] = span;
     }
-    // Its health checks time out.
+    // Makes health checks of this endpoint time out.
     void failHealthChecks(std::uint64_t id) {
         healthCheckResults_[EndpointId{id}] = {Outcome::Timeout, std::nullopt};
     }
-    // It answers its health checks with an error.
+    // Makes this endpoint answer its health checks with an error.
     void rejectHealthChecks(std::uint64_t id) {
         healthCheckResults_[EndpointId{id}] = {Outcome::Error, std::nullopt};
     }
 
-    // A new request arrives. Returns its id, as does the next function.
+    // Delivers a new request to the engine. Returns the id of the request.
     RequestId submitRequest(std::uint64_t group = 0, Micros clientTimeout = 3200ms,
                             std::uint32_t requestClass = 0, std::uint32_t tenant = 0) {
         RequestArrived request;
@@ -117,6 +117,8 @@
         return request.request;
     }
 
+    // Delivers a new request with a load hint, in microseconds of work per second. Returns the id of the
+    // request.
     RequestId submitRequestWithLoad(double load) {
         RequestArrived request;
         request.request = RequestId{++lastRequestId_};
@@ -162,21 +164,21 @@
         }));
     }
 
-    // Whether the request's last attempt may still begin.
+    // Whether the request's last attempt may still be started.
     bool isStillValid(RequestId request) const { return engine_->isStillValid(now_, request); }
 
-    // The last attempt of the request succeeds.
+    // Reports that the last attempt of the request established a connection.
     void establishConnection(RequestId request) {
         deliver(ConnectionEstablished{request, lastAttempt(request), EndpointId{target(request)}, 30ms});
     }
 
-    // The last attempt of the request ends, or the connection that came of it.
+    // Reports the end of the last attempt of the request, or of the connection that it established.
     void endAttempt(RequestId request, Outcome outcome, bool requestEnded = false) {
         deliver(AttemptEnded{
             request, lastAttempt(request), EndpointId{target(request)}, outcome, 30ms, requestEnded, {}});
     }
 
-    // Submits requests that succeed at once.
+    // Submits requests, each of which succeeds immediately.
     void serveRequests(int requests) {
         for (int i = 0; i < requests; ++i) {
             endAttempt(submitRequest(), Outcome::Ok, true);
@@ -192,7 +194,7 @@
         std::optional<double> loadOverCapacity;
     };
     struct AttemptRecord {
-        std::uint64_t endpoint = 0;  // of the last one
+        std::uint64_t endpoint = 0;  // endpoint of the last attempt
         int count = 0;
     };
 
@@ -233,7 +235,7 @@
     std::uint64_t lastRequestId_ = 0;
 };
 
-// A fleet of endpoints 1, 2, ... that report these loads.
+// Creates an engine and a fleet of endpoints 1, 2, ... that report these loads over capacity.
 inline DecisionEngineDriver makeFleet(Settings settings, const std::vector<double>& loads) {
     DecisionEngineDriver d{std::move(settings)};
     std::vector<EndpointEntry> entries;
@@ -257,7 +259,7 @@
     return settings;
 }
 
-// A fleet of these endpoints, all of which report a load of 0.3.
+// Creates an engine and a fleet of these endpoints, all of which report a load over capacity of 0.3.
 inline DecisionEngineDriver makeDriver(Settings settings, std::vector<EndpointEntry> endpoints) {
     DecisionEngineDriver d{std::move(settings)};
     for (const EndpointEntry& entry : endpoints) {
@@ -267,7 +269,7 @@
     return d;
 }
 
-// One node and four endpoints, each of which has a quarter of its connections.
+// Creates a single node and four endpoints, each of which has a quarter of the node's connections.
 inline DecisionEngineDriver fleetWithEqualConnections() {
     Settings settings = defaultSettings();
     settings.nodes = 1;
--- a/tests/decision/decision_hash.hpp
+++ b/tests/decision/decision_hash.hpp
@@ -1,4 +1,5 @@
-// A 64-bit FNV-1a hash of actions and learned state, field by field; doubles by their bit patterns.
+// A 64-bit FNV-1a hash over the fields of actions and learned state. Doubles are hashed by their bit
+// patterns.
 #pragma once
 
 #include <bit>
@@ -37,7 +38,7 @@
         (add(fields), ...);
     }
 
-    // The first value identifies the kind of action, independently of its place in the variant.
+    // The first value identifies the type of the action, independently of its position in the variant.
     void add(const StartAttempt& a) { addAll(1, a.request, a.endpoint, a.timeout); }
     void add(const RejectRequest& a) { addAll(2, a.request, a.retryAfter); }
     void add(const FailRequest& a) { addAll(3, a.request); }
--- a/tests/decision/decision_parts.hpp
+++ b/tests/decision/decision_parts.hpp
@@ -1,5 +1,5 @@
-// The state that direct tests of the decision engine's parts share: a clock, settings, endpoints and the
-// references that parts take as their context.
+// Common fixture for unit tests of single modules of the decision engine: the current time, settings,
+// endpoints, and the context that the modules take.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 inline constexpr Time kNow = std::chrono::seconds(1000);
 inline constexpr double kNaN = std::numeric_limits<double>::quiet_NaN();
 
-// What the engine keeps for its parts.
+// The engine state that the modules refer to.
 struct PartsFixture {
     Settings settings = defaultSettings();
     EndpointTable endpoints;
@@ -29,7 +29,7 @@
     }
     Endpoint& endpoint(std::uint64_t id) { return *endpoints.find(EndpointId{id}); }
 
-    // The endpoint's last report, of this load over capacity.
+    // Sets the endpoint's last load report. Returns the endpoint.
     Endpoint& report(std::uint64_t id, double loadOverCapacity, Time at = kNow) {
         Endpoint& reporting = endpoint(id);
         reporting.reported = true;
--- a/tests/decision/endpoint_list_polling_test.cpp
+++ b/tests/decision/endpoint_list_polling_test.cpp
@@ -1,4 +1,4 @@
-// Polling the endpoint list, and retrying when discovery does not answer.
+// Tests polling of the endpoint list, and its retries if discovery does not respond.
 #include "decision/endpoint_list_polling.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,8 @@
     DecisionEngineDriver d{pollSettings()};
     for (int failures = 1; failures < 8; ++failures) {
         d.deliver(EndpointListChanged{EndpointListKind::Failed, {}});
-        EXPECT_EQ(d.count<WatchEndpoints>(), failures) << "not at once: discovery is overloaded already";
+        EXPECT_EQ(d.count<WatchEndpoints>(), failures)
+            << "The retry is delayed, because discovery may be overloaded.";
         d.advance(5s);
         EXPECT_EQ(d.count<WatchEndpoints>(), failures + 1);
     }
@@ -55,11 +56,11 @@
     EXPECT_EQ(d.target(d.submitRequest()), 1U);
 }
 
-// ---- endpoint_list_polling by itself ----
+// ---- unit tests of endpoint_list_polling ----
 
 constexpr Micros kMaxPollInterval = 10s;
 
-// How long after `from` the next poll is due.
+// Returns the time from `from` until the next poll is due, in steps of 1 ms.
 Micros dueAfter(const EndpointListPolling& polling, Time from) {
     Micros delay{0};
     while (!polling.isDue(from + delay))
@@ -67,7 +68,7 @@
     return delay;
 }
 
-// The delays after consecutive failures, each of which comes when the poll is due.
+// Returns the delays after consecutive failures; each failure occurs when the poll is due.
 std::vector<Micros> delaysAfterFailures(std::uint64_t seed, int failures, Micros maxPollInterval) {
     SplitMix64 random{seed};
     EndpointListPolling polling;
--- a/tests/decision/endpoint_table_test.cpp
+++ b/tests/decision/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoints may get new connections: changes of the endpoint list, draining, bans and restarts.
+// Tests which endpoints may get new connections after list updates, draining, bans and restarts.
 #include "decision/endpoint_table.hpp"
 
 #include <gtest/gtest.h>
@@ -58,7 +58,7 @@
     const int before = d.attemptsTo(1);
     d.updateEndpointList({endpointEntry(1), endpointEntry(2)});
     d.serveRequests(50);
-    d.updateEndpointList({endpointEntry(2)});  // it leaves the list and returns, restarted
+    d.updateEndpointList({endpointEntry(2)});  // endpoint 1 is removed, and listed again after a restart
     EndpointEntry restarted = endpointEntry(1);
     restarted.startedAt = d.now();
     d.updateEndpointList({restarted}, EndpointListKind::Delta);
@@ -68,7 +68,7 @@
     d.deliver(EndpointBanChanged{EndpointId{1}, false});
     d.advance(3s);
     d.serveRequests(100);
-    EXPECT_GT(d.attemptsTo(1), before) << "one call lifts the ban, however often it was set";
+    EXPECT_GT(d.attemptsTo(1), before) << "One event lifts the ban, however often the ban was set.";
 }
 
 TEST(EndpointTable, EndpointRestartedDuringBanIsInSlowStart) {
@@ -83,7 +83,7 @@
     for (int i = 0; i < 60; ++i) {
         d.establishConnection(d.submitRequest());
     }
-    EXPECT_LE(d.attemptsTo(1) - before, 1) << "attempts during slow start are paced";
+    EXPECT_LE(d.attemptsTo(1) - before, 1) << "Attempts during slow start are limited.";
 }
 
 TEST(EndpointTable, QueuedRequestIsSentWhenBanIsLifted) {
@@ -95,7 +95,7 @@
     EXPECT_EQ(d.target(request), 1U);
 }
 
-// ---- endpoint_table by itself ----
+// ---- unit tests of endpoint_table ----
 
 std::vector<std::uint64_t> idsOf(const EndpointTable& table) {
     std::vector<std::uint64_t> ids;
@@ -191,7 +191,7 @@
     f.endpoints.setBanned(EndpointId{1}, true);
     f.endpoints.setBanned(EndpointId{99}, true);
     f.endpoint(2).healthCheckFailures = kUnhealthyAfterFailures - 1;
-    EXPECT_EQ(f.endpoints.avoidedCount(), 1U) << "a ban of an unknown endpoint does not count";
+    EXPECT_EQ(f.endpoints.avoidedCount(), 1U) << "A ban of an unknown endpoint does not count.";
     EXPECT_TRUE(f.endpoints.isUsable(f.endpoint(2)));
     f.endpoint(2).healthCheckFailures = kUnhealthyAfterFailures;
     EXPECT_TRUE(f.endpoints.isReady(f.endpoint(2)));
@@ -208,7 +208,8 @@
     EXPECT_DOUBLE_EQ(f.endpoints.relativeSize(f.endpoint(2)), 1.5);
     f.list({entryOfSize(1, 2.0), entryOfSize(2, 6.0)}, WeightKind::None);
     EXPECT_EQ(f.endpoints.meanListedSize(), 0.0);
-    EXPECT_DOUBLE_EQ(f.endpoints.relativeSize(f.endpoint(2)), 1.0) << "the sizes have no meaning";
+    EXPECT_DOUBLE_EQ(f.endpoints.relativeSize(f.endpoint(2)), 1.0)
+        << "Listed sizes are ignored with WeightKind::None.";
 }
 
 TEST(EndpointTable, InvalidSizesCountAsAverage) {
--- a/tests/decision/event_generator.cpp
+++ b/tests/decision/event_generator.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kSeedFactor = 7919;  // sets the engine's random numbers apart from the generator's
+constexpr std::uint64_t kSeedFactor = 7919;  // makes the engine's random sequence differ from the generator's
 
 Settings settingsOf(const GeneratedCase& generated) {
     Settings settings = generated.settings;
@@ -98,7 +98,7 @@
     removeRequest(action.request);
 }
 
-// The client reconnects after a while.
+// The client reconnects 0.01 s to 0.5 s later.
 void EventGenerator::execute(const MigrateConnection& action) {
     ++counts_.migrations;
     const auto at = requests_.find(action.request);
@@ -118,7 +118,7 @@
     const SimulatedEndpoint* endpoint = fleet_.find(action.endpoint);
     const bool unresponsive = endpoint == nullptr || now_ < endpoint->unresponsiveUntil ||
                               random_.chance(case_.unansweredHealthChecks);
-    if (unresponsive && random_.chance(0.1)) return;  // it never completes
+    if (unresponsive && random_.chance(0.1)) return;  // the health check never completes
     if (unresponsive)
         return completeHealthCheck(action.endpoint,
                                    random_.chance(0.7) ? Outcome::Timeout : Outcome::ConnectFailed, 250ms);
--- a/tests/decision/event_generator.hpp
+++ b/tests/decision/event_generator.hpp
@@ -1,7 +1,7 @@
-// Generates the events of one seeded world around a decision engine, carries the engine's actions out, and
-// computes the digest of all decisions. Its parts: the event loop and the actions (event_generator.cpp),
-// requests and connections (generated_requests.cpp), and changes of the endpoint list, bans and settings
-// (generated_changes.cpp).
+// Generates pseudo-random events for one decision engine, executes the engine's actions, and computes a
+// digest of all decisions. The class is implemented in event_generator.cpp (event loop and actions),
+// generated_requests.cpp (requests and connections) and generated_changes.cpp (changes of the endpoint list,
+// bans and settings).
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
         EndpointId endpoint{};
         AttemptIndex attempt{};
         int attempts = 0;
-        double load = 0.0;  // of its connection, microseconds of work a second
+        double load = 0.0;  // of its connection, microseconds of work per second
         bool attempting = false;
         bool connected = false;
     };
--- a/tests/decision/fleet_capacity_estimate_test.cpp
+++ b/tests/decision/fleet_capacity_estimate_test.cpp
@@ -1,4 +1,4 @@
-// What a node learns of the capacity of endpoints, and how far it trusts that.
+// Tests how a node learns the capacity of endpoints, and the confidence in the learned value.
 #include "decision/fleet_capacity_estimate.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace ivyreel::test {
 namespace {
 
-// How many of sixty such requests, submitted within a third of a second, are sent to an endpoint.
+// Submits sixty such requests within a third of a second. Returns how many of them are sent to an endpoint.
 int acceptedOfSixty(DecisionEngineDriver& d, RequestArrived client = {}) {
     int accepted = 0;
     client.clientTimeout = 3200ms;
@@ -21,8 +21,8 @@
     return accepted;
 }
 
-// A node that returns while the other one restarts gets all clients at once, before it has learned the
-// capacity of the endpoints.
+// A node that has just restarted gets all clients at once when the other node restarts, before it has learned
+// the capacity of the endpoints. It must accept them, based on the default capacity.
 TEST(FleetCapacityEstimate, NewNodeUsesTheCapacityOfTheFleet) {
     Settings settings = defaultSettings();
     settings.nodes = 2;
@@ -32,15 +32,16 @@
     for (std::uint64_t i = 0; i < 40; ++i) {
         resumed.request = RequestId{5000 + i};
         experienced.deliver(ConnectionResumed{
-            resumed, EndpointId{1 + i % 4}});  // all connections of the fleet, so the endpoints are small
+            resumed,
+            EndpointId{1 + i % 4}});  // these are all connections of the fleet, so the endpoints are small
     }
     experienced.advance(60s);
     EXPECT_EQ(acceptedOfSixty(fresh), 60);
     EXPECT_LT(acceptedOfSixty(experienced), 60);
 }
 
-// The other node has the connections that this one lost: the capacity is as before, though the node's own
-// connections suggest a tenth of it.
+// The clients of lost connections reconnect to the other node, so the reported load stays the same. The
+// capacity estimate must not drop to the tenth that this node's remaining connections suggest.
 TEST(FleetCapacityEstimate, IsKeptAfterLosingMostConnections) {
     Settings settings = defaultSettings();
     settings.nodes = 2;
@@ -61,7 +62,8 @@
     EXPECT_EQ(acceptedOfSixty(d), 60);
 }
 
-// The load of the clients of a stopping node is still in the load reports when they reconnect to a new node.
+// Load reports still include the load of the clients of a stopping node when these reconnect to a new node.
+// The new node must not count that load twice and reject them.
 TEST(FleetCapacityEstimate, NewNodeAcceptsClientsOfStoppingNode) {
     Settings settings = defaultSettings();
     settings.nodes = 2;
@@ -72,25 +74,25 @@
     DecisionEngineDriver replacement = makeFleet(settings, 4, 0.8);
     EXPECT_EQ(acceptedOfSixty(replacement, again), 60);
     DecisionEngineDriver growing = makeFleet(settings, 4, 0.8);
-    EXPECT_LT(acceptedOfSixty(growing, first), 60) << "they bring more load";
+    EXPECT_LT(acceptedOfSixty(growing, first), 60) << "New clients add load.";
     DecisionEngineDriver later = makeFleet(settings, 4, 0.8);
     later.advance(6s);
-    EXPECT_LT(acceptedOfSixty(later, again), 60) << "no longer a new node";
+    EXPECT_LT(acceptedOfSixty(later, again), 60) << "The node no longer counts as new.";
     DecisionEngineDriver withConnections = makeFleet(settings, 4, 0.8);
     RequestArrived connection;
     connection.request = RequestId{5000};
     withConnections.deliver(ConnectionResumed{connection, EndpointId{1}});
-    EXPECT_LT(acceptedOfSixty(withConnections, again), 60) << "it resumed connections at its start";
+    EXPECT_LT(acceptedOfSixty(withConnections, again), 60) << "The node resumed connections at its start.";
     settings.nodes = 40;
     DecisionEngineDriver oneOfMany = makeFleet(settings, 4, 0.8);
-    EXPECT_LT(acceptedOfSixty(oneOfMany, again), 30) << "the other nodes get as many";
+    EXPECT_LT(acceptedOfSixty(oneOfMany, again), 30) << "Each other node gets as many requests.";
 }
 
-// ---- fleet_capacity_estimate by itself ----
+// ---- unit tests of fleet_capacity_estimate ----
 
 constexpr double kMaxCapacity = 64e6;
 
-// Adds the same sample for a number of seconds.
+// Adds the sample once for each second.
 void addForSeconds(FleetCapacityEstimate& estimate, const FleetLoadSample& sample, int seconds) {
     for (int i = 0; i < seconds; ++i)
         estimate.add(sample, 1.0);
@@ -99,7 +101,7 @@
 TEST(FleetCapacityEstimate, IsInitiallyTheDefaultOrTheListedSize) {
     const FleetCapacityEstimate estimate;
     EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, 0.0), kDefaultCapacity);
-    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, 4.0), 4e6) << "listed sizes are in cores";
+    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, 4.0), 4e6) << "Listed sizes are in cores.";
     EXPECT_DOUBLE_EQ(estimate.typicalCapacity(kDefaultCapacity, -4.0), kDefaultCapacity);
 }
 
@@ -121,7 +123,8 @@
 TEST(FleetCapacityEstimate, ConfidenceGrowsWithConnectionSeconds) {
     FleetCapacityEstimate estimate;
     estimate.add({6e6, 1.0, 200}, 1.0);
-    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(10e6, 0.0), 8e6) << "200 connection seconds count as half";
+    EXPECT_DOUBLE_EQ(estimate.typicalCapacity(10e6, 0.0), 8e6)
+        << "200 connection seconds give a confidence of one half.";
 }
 
 TEST(FleetCapacityEstimate, WithoutReportedLoadNothingIsLearned) {
--- a/tests/decision/fleet_snapshot_test.cpp
+++ b/tests/decision/fleet_snapshot_test.cpp
@@ -1,4 +1,4 @@
-// The figures of the whole fleet, and when they are computed again.
+// Tests the aggregates over the whole fleet, and when they are recomputed.
 #include "decision/fleet_snapshot.hpp"
 
 #include <gtest/gtest.h>
@@ -63,11 +63,12 @@
     f.report(1, 0.2);
     f.refresh();
     f.report(1, 0.6);
-    EXPECT_DOUBLE_EQ(f.refresh().meanUtilisation, 20.0) << "at the same time, and nothing was invalidated";
+    EXPECT_DOUBLE_EQ(f.refresh().meanUtilisation, 20.0)
+        << "No time has passed, and the snapshot was not invalidated.";
     f.monitor.invalidate();
     EXPECT_DOUBLE_EQ(f.refresh().meanUtilisation, 60.0);
     f.report(1, 0.4);
-    EXPECT_DOUBLE_EQ(f.refresh(kNow + 1us).meanUtilisation, 40.0) << "time has passed";
+    EXPECT_DOUBLE_EQ(f.refresh(kNow + 1us).meanUtilisation, 40.0) << "Time has passed.";
 }
 
 TEST(FleetSnapshot, ClientsOfOtherNodesCountAsDepartedNotAsSent) {
@@ -77,7 +78,7 @@
     f.endpoint(1).recentSends.push_back(reconnected);
     f.monitor.recordSend(reconnected);
     const FleetSnapshot& snapshot = f.refresh();
-    EXPECT_DOUBLE_EQ(snapshot.departedLoad, 25'000) << "at each endpoint";
+    EXPECT_DOUBLE_EQ(snapshot.departedLoad, 25'000) << "The departed load is the mean per endpoint.";
     EXPECT_EQ(snapshot.sendRate, 0.0);
     EXPECT_EQ(snapshot.recentSendCount, 0);
 }
--- a/tests/decision/generated_changes.cpp
+++ b/tests/decision/generated_changes.cpp
@@ -1,5 +1,4 @@
-// The part of the event generator that changes the endpoint list, the endpoints themselves, bans and
-// settings.
+// The part of the event generator that changes the endpoint list, the simulated endpoints, bans and settings.
 #include <chrono>
 
 #include "event_generator.hpp"
@@ -9,10 +8,10 @@
 
 using namespace std::chrono_literals;
 
-// The order is part of what the recorded digests depend on.
+// The recorded digests depend on the order of the enumerators.
 enum class Change : std::uint64_t {
     Restart,
-    RestartDuplicate,  // restarts are twice as frequent as the others
+    RestartDuplicate,  // makes restarts twice as frequent as other changes
     Drain,
     Remove,
     StopResponding,
@@ -88,7 +87,8 @@
     deliverEndpointList(endpoint);
 }
 
-// Sets it for a while; then the endpoint is ready again, often after a restart.
+// Sets the availability for 0.5 s to 6 s; then the endpoint is ready again, in half of the cases after a
+// restart.
 void EventGenerator::setAvailability(SimulatedEndpoint& endpoint, Availability availability) {
     endpoint.entry.availability = availability;
     deliverEndpointList(endpoint);
@@ -115,7 +115,8 @@
     deliverEndpointList(endpoint);
 }
 
-// Another objective and other limits for a while; classes and tenants keep their indices.
+// Switches to the original settings or to a variant with another objective and other limits. Classes and
+// tenants keep their indices.
 void EventGenerator::changeSettings() {
     const std::uint64_t seed = settings_.seed;
     settings_ = case_.settings;
--- a/tests/decision/generated_events.hpp
+++ b/tests/decision/generated_events.hpp
@@ -1,4 +1,4 @@
-// A seeded world of events around one decision engine, and a digest of all of the engine's decisions in it.
+// Parameters of a pseudo-random event sequence for one decision engine, and the digest of all decisions.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +15,15 @@
     int events = 6'000;
     std::uint32_t endpoints = 12;
     double arrivalsPerSecond = 40.0;
-    double targetLoad = 0.6;               // of the fleet, over its capacity
+    double targetLoad = 0.6;               // load of the fleet over its capacity
     double capacityUnits = 4.0;            // mean capacity of an endpoint, in cores
     double unansweredHealthChecks = 0.03;  // share of the health checks
     double lateMessages = 0.1;             // share of the measured delays that miss the objective
-    double distinctGroups = 0.0;           // share of the requests that have a group of their own
-    double secondsPerChange = 2.0;         // mean time between two changes of list, bans or settings
+    double distinctGroups = 0.0;           // share of the requests with an affinity group of their own
+    double secondsPerChange = 2.0;  // mean time between two changes of the endpoint list, bans or settings
 };
 
-// How many of each the engine wanted, and how many events it got.
+// Numbers of actions of the engine by type, and of the events that it handled.
 struct ActionCounts {
     int attempts = 0;
     int rejections = 0;
@@ -41,6 +41,7 @@
     ActionCounts counts;
 };
 
+// Runs the engine through the generated events.
 GeneratedResult runGeneratedCase(const GeneratedCase& generated);
 
 }  // namespace ivyreel::test
--- a/tests/decision/generated_requests.cpp
+++ b/tests/decision/generated_requests.cpp
@@ -1,4 +1,4 @@
-// The part of the event generator that plays clients and connections.
+// The part of the event generator that simulates clients and connections.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -12,10 +12,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kOutcomes = 8;  // values of Outcome
+constexpr std::uint64_t kOutcomes = 8;  // number of values of Outcome
 constexpr double kLongestMeanConnectionSeconds = 600.0;
 
-// Arrivals come in bursts of 4 s every 20 s.
+// The factor of the arrival rate: a burst of 4 s every 20 s.
 double burstFactor(Time now) {
     return std::fmod(std::chrono::duration<double>(now).count(), 20.0) < 4.0 ? 2.0 : 0.8;
 }
@@ -153,7 +153,7 @@
     requests_.erase(at);
 }
 
-// Connections that were open before the start; the engine hears of some of them only.
+// Adds connections that were open before the start; the engine is notified of some of them only.
 void EventGenerator::resumeConnections() {
     for (std::uint64_t i = 0; i < 5; ++i) {
         Request request;
@@ -169,7 +169,7 @@
     }
 }
 
-// Measures the load or the message delay of one connection at random.
+// Delivers a measurement of the load or the message delay of a random connection.
 void EventGenerator::generateMeasurement() {
     schedule(micros(random_.between(0.0, 4.0 / case_.arrivalsPerSecond)), [this] { generateMeasurement(); });
     if (random_.chance(0.02)) return deliverInvalidEvents();
@@ -185,7 +185,7 @@
                                 random_.chance(case_.lateMessages) ? late : random_.between(1.0, 49.0)});
 }
 
-// Unknown requests and endpoints, and invalid values.
+// Delivers events with unknown requests, unknown endpoints or invalid values.
 void EventGenerator::deliverInvalidEvents() {
     const RequestId unknown{lastRequestId_ + 1'000'000};
     const RequestId some = requests_.empty() ? unknown : requests_.begin()->first;
--- a/tests/decision/health_check_schedule_test.cpp
+++ b/tests/decision/health_check_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When endpoints are health-checked, and what a pending health check holds up.
+// Tests when endpoints are health-checked, and how requests wait for an outstanding health check.
 #include "decision/health_check_schedule.hpp"
 
 #include <gtest/gtest.h>
@@ -32,11 +32,11 @@
     DecisionEngineDriver d = makeFleet(defaultSettings(), 3, 0.3);
     const int atStart = d.healthChecksOf(1);
     d.advance(50s);
-    EXPECT_GE(d.healthChecksOf(1) - atStart, 10) << "at most 5 s apart";
-    EXPECT_LE(d.healthChecksOf(1) - atStart, 20) << "few without traffic";
+    EXPECT_GE(d.healthChecksOf(1) - atStart, 10) << "Checks are at most 5 s apart.";
+    EXPECT_LE(d.healthChecksOf(1) - atStart, 20) << "Few checks run without traffic.";
 }
 
-// One of 200 nodes that share 100 endpoints, with one request in two seconds.
+// Creates one of 200 nodes that share 100 endpoints. Tests give it at most one request in two seconds.
 DecisionEngineDriver largeFleet(std::uint64_t seed = 7) {
     Settings settings = defaultSettings();
     settings.nodes = 200;
@@ -51,8 +51,8 @@
         d.advance(2s);
         d.endAttempt(request, Outcome::Ok, true);
     }
-    EXPECT_GE(d.count<StartHealthCheck>(), 50) << "every selection uses load reports";
-    EXPECT_LE(d.count<StartHealthCheck>(), 250) << "periodic checks of all endpoints would be over 2,000";
+    EXPECT_GE(d.count<StartHealthCheck>(), 50) << "Every selection uses load reports.";
+    EXPECT_LE(d.count<StartHealthCheck>(), 250) << "Periodic checks of all endpoints would be over 2,000.";
 }
 
 TEST(HealthCheckSchedule, InLargeFleetContinuesForEndpointsWithConnections) {
@@ -62,7 +62,8 @@
     d.establishConnection(request);
     const int before = d.healthChecksOf(d.target(request));
     d.advance(50s);
-    EXPECT_GE(d.healthChecksOf(d.target(request)) - before, 10) << "its load report stays fresh";
+    EXPECT_GE(d.healthChecksOf(d.target(request)) - before, 10)
+        << "The load report of the endpoint stays fresh.";
 }
 
 TEST(HealthCheckSchedule, InLargeFleetSelectionUsesOnDemandReport) {
@@ -78,7 +79,8 @@
         d.advance(20ms);
         busy += d.target(request) > 15 ? 1 : 0;
     }
-    EXPECT_NEAR(busy, 75, 30) << "30 against 90: a quarter, four standard deviations";
+    EXPECT_NEAR(busy, 75, 30)
+        << "Weights of 30 and 90 give a quarter; the tolerance is four standard deviations.";
 }
 
 TEST(HealthCheckSchedule, InLargeFleetUnansweredCheckDelaysRequestOnlyBriefly) {
@@ -89,9 +91,9 @@
     }
     const RequestId request = d.submitRequest();
     d.advance(100ms);
-    EXPECT_EQ(d.attempts(request), 0) << "the request waits for a load report";
+    EXPECT_EQ(d.attempts(request), 0) << "The request waits for a load report.";
     d.advance(700ms);
-    EXPECT_EQ(d.finalAnswers(request) + d.attempts(request), 1) << "but not for long";
+    EXPECT_EQ(d.finalAnswers(request) + d.attempts(request), 1) << "The wait for load reports is short.";
 }
 
 TEST(HealthCheckSchedule, ChecksOfDifferentEndpointsAreNotSynchronised) {
@@ -122,10 +124,10 @@
     d.endAttempt(request, Outcome::ConnectFailed);
     d.advance(650ms);
     EXPECT_GE(d.healthChecksOf(failing) - before, 2)
-        << "two failures, enough to eject it, well within a second";
+        << "Two failures, enough to eject the endpoint, occur well within a second.";
 }
 
-// The health check is slow at once; the load report shows the overload only later.
+// An overload makes health checks slow immediately; load reports show the overload only later.
 TEST(HealthCheckSchedule, SuddenlySlowEndpointIsCheckedAgainSoon) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 2, 0.3);
     d.advance(6s);
@@ -137,10 +139,10 @@
     EXPECT_LE(d.healthChecksOf(2) - typical, 2);
     const int later = d.healthChecksOf(1);
     d.advance(3s);
-    EXPECT_LE(d.healthChecksOf(1) - later, 4) << "the latency is typical for it by now";
+    EXPECT_LE(d.healthChecksOf(1) - later, 4) << "The mean round trip has adapted to the latency.";
 }
 
-// In a large fleet the periodic health check comes every 4.5 s: too late for an endpoint with a growing
+// In a large fleet, periodic health checks are 4.5 s apart, which is too long for an endpoint with a growing
 // backlog.
 TEST(HealthCheckSchedule, MissedMessageLatencyObjectiveTriggersCheck) {
     DecisionEngineDriver d = largeFleet();
@@ -153,13 +155,13 @@
     const int before = d.healthChecksOf(d.target(request));
     d.deliver(MessageDelayMeasured{request, endpoint, 80.0});
     d.advance(200ms);
-    EXPECT_EQ(d.healthChecksOf(d.target(request)), before) << "within the objective of 100 ms";
+    EXPECT_EQ(d.healthChecksOf(d.target(request)), before) << "The delay is within the objective of 100 ms.";
     d.deliver(MessageDelayMeasured{request, endpoint, 120.0});
     d.advance(200ms);
     EXPECT_EQ(d.healthChecksOf(d.target(request)), before + 1);
 }
 
-// ---- health_check_schedule by itself ----
+// ---- unit tests of health_check_schedule ----
 
 constexpr Micros kMaxInterval = 4500ms;
 
@@ -173,7 +175,7 @@
     return endpoint;
 }
 
-// An endpoint with a round trip of 1 ms, after another answer that took so long.
+// Returns an endpoint with a mean round trip of 1 ms, after another answer that took `elapsed`.
 Endpoint endpointAfterAnswer(Micros elapsed, std::uint32_t nodes) {
     Settings settings = defaultSettings();
     settings.nodes = nodes;
@@ -185,9 +187,12 @@
 
 TEST(HealthCheckSchedule, IntervalFollowsEndpointsPerRequest) {
     EXPECT_EQ(periodicHealthCheckInterval(100, 10.0, 300), Micros{2500ms});
-    EXPECT_EQ(periodicHealthCheckInterval(1, 1000.0, 300), Micros{1s}) << "no more often";
-    EXPECT_EQ(periodicHealthCheckInterval(100, 1.0, 300), std::nullopt) << "too many for a large fleet";
-    EXPECT_EQ(periodicHealthCheckInterval(100, 1.0, 4), kMaxInterval) << "but not for a small one";
+    EXPECT_EQ(periodicHealthCheckInterval(1, 1000.0, 300), Micros{1s})
+        << "The interval is at least one second.";
+    EXPECT_EQ(periodicHealthCheckInterval(100, 1.0, 300), std::nullopt)
+        << "There would be too many checks in a large fleet.";
+    EXPECT_EQ(periodicHealthCheckInterval(100, 1.0, 4), kMaxInterval)
+        << "A small fleet always has an interval.";
     EXPECT_EQ(periodicHealthCheckInterval(100, 1.0, 5), std::nullopt);
 }
 
@@ -203,13 +208,14 @@
     Endpoint endpoint = listedEndpoint();
     EXPECT_TRUE(isHealthCheckDue(endpoint, 1s, kNow));
     recordHealthCheckStart(endpoint, kNow, random);
-    EXPECT_FALSE(isHealthCheckDue(endpoint, 1s, kNow + 100s)) << "the first is outstanding";
+    EXPECT_FALSE(isHealthCheckDue(endpoint, 1s, kNow + 100s)) << "The first check is outstanding.";
     endpoint.healthCheck.outstanding = false;
     EXPECT_FALSE(isHealthCheckDue(endpoint, 1s, kNow + 500ms - 1us));
     EXPECT_TRUE(isHealthCheckDue(endpoint, 1s, kNow + 1500ms));
     recordHealthCheckStart(endpoint, kNow + 1500ms, random);
     endpoint.healthCheck.outstanding = false;
-    EXPECT_FALSE(isHealthCheckDue(endpoint, 1s, kNow + 2500ms - 1us)) << "from then on steadily";
+    EXPECT_FALSE(isHealthCheckDue(endpoint, 1s, kNow + 2500ms - 1us))
+        << "Further checks are due after the regular interval.";
     EXPECT_TRUE(isHealthCheckDue(endpoint, 1s, kNow + 2500ms));
 }
 
@@ -247,9 +253,10 @@
     EXPECT_EQ(endpoint.healthCheck.consecutiveUnanswered, 1);
     recordHealthCheckResult(endpoint, resultOf(Outcome::ConnectFailed, settings.limits.connectTimeout),
                             settings, kNow);
-    EXPECT_EQ(endpoint.healthCheck.consecutiveUnanswered, 2) << "the connection attempt timed out";
+    EXPECT_EQ(endpoint.healthCheck.consecutiveUnanswered, 2) << "The connection attempt timed out.";
     recordHealthCheckResult(endpoint, resultOf(Outcome::ConnectFailed, 1ms), settings, kNow);
-    EXPECT_EQ(endpoint.healthCheck.consecutiveUnanswered, 0) << "it was refused";
+    EXPECT_EQ(endpoint.healthCheck.consecutiveUnanswered, 0)
+        << "The connection was refused, so there was a response.";
     EXPECT_EQ(endpoint.healthCheckFailures, 3);
 }
 
--- a/tests/decision/kind_capacity_test.cpp
+++ b/tests/decision/kind_capacity_test.cpp
@@ -1,4 +1,4 @@
-// The connections that endpoints of each kind carry.
+// Tests the estimated number of connections that endpoints of each kind carry.
 #include "decision/kind_capacity.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decision/load_polling_test.cpp
+++ b/tests/decision/load_polling_test.cpp
@@ -1,4 +1,4 @@
-// Polling of endpoints' loads on behalf of a request.
+// Tests polling of endpoints' loads on behalf of a request.
 #include "decision/load_polling.hpp"
 
 #include <gtest/gtest.h>
@@ -59,7 +59,8 @@
     EXPECT_TRUE(canBePolled(endpoint, request, settings, kNow + 150ms - 1us));
     EXPECT_FALSE(canBePolled(endpoint, request, settings, kNow + 150ms));
     endpoint.healthCheck.outstanding = false;
-    EXPECT_FALSE(canBePolled(endpoint, request, settings, kNow + 1ms)) << "it has failed, or told nothing";
+    EXPECT_FALSE(canBePolled(endpoint, request, settings, kNow + 1ms))
+        << "The health check failed, or returned no load.";
 }
 
 TEST(LoadPolling, WaitsForOutstandingHealthCheckOnlyIfRecent) {
@@ -68,7 +69,8 @@
     endpoint.healthCheck.startedAt = kNow;
     endpoint.healthCheck.outstanding = true;
     EXPECT_TRUE(canBePolled(endpoint, Request{}, settings, kNow + 150ms - 1us));
-    EXPECT_FALSE(canBePolled(endpoint, Request{}, settings, kNow + 150ms)) << "it is slow to answer";
+    EXPECT_FALSE(canBePolled(endpoint, Request{}, settings, kNow + 150ms))
+        << "The endpoint is slow to answer.";
 }
 
 }  // namespace
--- a/tests/decision/load_report_handling_test.cpp
+++ b/tests/decision/load_report_handling_test.cpp
@@ -1,4 +1,4 @@
-// What a load report changes in the state of its endpoint.
+// Tests how a load report changes the state of its endpoint.
 #include "decision/load_report_handling.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decision/message_delay_test.cpp
+++ b/tests/decision/message_delay_test.cpp
@@ -1,4 +1,4 @@
-// Which message delays count as late.
+// Tests which message delays count as late.
 #include "decision/message_delay.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace ivyreel::test {
 namespace {
 
-// An endpoint whose last health check was a while ago, after a message with this delay.
+// Returns an endpoint after a message with this delay; its last health check was 10 s ago.
 Endpoint endpointAfterDelay(double delayMs, Micros objective = 100ms) {
     Endpoint endpoint;
     endpoint.healthCheck.startedAt = kNow - 10s;
--- a/tests/decision/migration_test.cpp
+++ b/tests/decision/migration_test.cpp
@@ -1,4 +1,4 @@
-// Migration of open connections away from overloaded, draining and unhealthy endpoints.
+// Tests the migration of open connections off overloaded, draining and unresponsive endpoints.
 #include "decision/migration.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 TEST(Migration, OverloadedEndpointIsRelievedInSteps) {
     Settings settings = defaultSettings();
-    settings.groupAffinity = true;  // so a high load does not mean that the endpoint is slow
+    settings.groupAffinity = true;  // so that a high load does not make the endpoint count as slow
     DecisionEngineDriver d = makeFleet(settings, 4, 0.4);
     for (int i = 0; i < 80; ++i) {
         d.establishConnection(d.submitRequest());
@@ -28,12 +28,13 @@
     EXPECT_LE(migrated, connections * 3 / 4);
     d.setReportedLoad(1, 0.8);
     d.advance(20s);
-    EXPECT_EQ(d.count<MigrateConnection>(), migrated) << "no migration once it is relieved";
+    EXPECT_EQ(d.count<MigrateConnection>(), migrated)
+        << "No connection migrates once the endpoint is relieved.";
 }
 
 TEST(Migration, ManyNodesWithOneConnectionEachMigrateTheExcess) {
-    // 300 nodes have one connection each to an endpoint at 1.0 of its capacity, and no other has capacity
-    // left: a quarter is above the saturation threshold.
+    // 300 nodes have one connection each to an endpoint whose load over capacity is 1.0, and no other
+    // endpoint has spare capacity. A quarter of the load is above the saturation threshold and must migrate.
     int migrated = 0;
     for (std::uint32_t node = 0; node < 300; ++node) {
         Settings settings = defaultSettings();
@@ -49,10 +50,11 @@
         d.deliver(HealthCheckCompleted{EndpointId{1}, Outcome::Ok, 1ms, loadReport(1.0)});
         migrated += d.count<MigrateConnection>();
     }
-    EXPECT_NEAR(migrated, 75, 38) << "five standard deviations";
+    EXPECT_NEAR(migrated, 75, 38) << "The tolerance is five standard deviations.";
 }
 
-// A slow endpoint may become slower still: it is relieved to half, and again at each load report.
+// A slow endpoint may become slower, so load is migrated down to half the threshold, and again after each
+// report.
 TEST(Migration, SlowEndpointIsRelievedFurtherAtEachReport) {
     DecisionEngineDriver d = fleetWithEqualConnections();
     const int connections = d.attemptsTo(1);
@@ -65,11 +67,12 @@
         d.advance(100ms);
     }
     const int first = d.count<MigrateConnection>();
-    // To half the saturation threshold, so by over half; a typical endpoint would keep 0.8 of it.
+    // The target is half the saturation threshold, so over half of the load migrates; a typical endpoint
+    // would keep a load over capacity of 0.8.
     EXPECT_GE(first, connections * 2 / 5);
-    EXPECT_LT(first, connections) << "not all of them";
+    EXPECT_LT(first, connections) << "Some connections stay.";
     d.advance(1100ms);
-    EXPECT_GT(d.count<MigrateConnection>(), first) << "its next load report is as bad";
+    EXPECT_GT(d.count<MigrateConnection>(), first) << "The next load report shows the same overload.";
 }
 
 TEST(Migration, NoMigrationOnSteadyFleet) {
@@ -81,8 +84,8 @@
     EXPECT_EQ(d.count<MigrateConnection>(), 0);
 }
 
-// Establishes forty connections, then lists the first `leaving` endpoints as draining. Returns how many
-// connections those have.
+// Establishes forty connections, then lists the first `leaving` endpoints as draining. Returns the number of
+// their connections.
 int drainFirst(DecisionEngineDriver& d, std::uint64_t leaving) {
     for (int i = 0; i < 40; ++i) {
         d.establishConnection(d.submitRequest());
@@ -106,13 +109,14 @@
     EXPECT_EQ(d.count<MigrateConnection>(), connections);
 }
 
-// If a hundred nodes emptied half a fleet at once, all clients would reconnect to the other half together.
+// If a hundred nodes evacuated half of a fleet at once, all these clients would reconnect to the other half
+// at the same time.
 TEST(Migration, DrainingEndpointKeepsConnectionsIfOthersLackCapacity) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 6, 0.5);
     ASSERT_GT(drainFirst(d, 3), 10);
     d.advance(30s);
     EXPECT_EQ(d.count<MigrateConnection>(), 0)
-        << "it keeps serving until it stops, though it rejects health checks";
+        << "A draining endpoint serves its connections until it stops, though it rejects health checks.";
 }
 
 TEST(Migration, LeavesUnresponsiveEndpointButNotOneThatRejectsHealthChecks) {
@@ -122,7 +126,8 @@
     }
     d.rejectHealthChecks(1);
     d.advance(10s);
-    EXPECT_EQ(d.count<MigrateConnection>(), 0) << "its process runs and serves its connections";
+    EXPECT_EQ(d.count<MigrateConnection>(), 0)
+        << "The process of the endpoint runs and serves its connections.";
     d.failHealthChecks(2);
     d.advance(10s);
     EXPECT_EQ(d.count<MigrateConnection>(), d.attemptsTo(2));
@@ -153,15 +158,15 @@
     EXPECT_GE(d.count<MigrateConnection>(), 3);
 }
 
-// ---- migration by itself ----
+// ---- unit tests of migration ----
 
-// One node and three endpoints; endpoint 1 has a load of this node's connections.
+// One node and three endpoints; all of this node's connections are at endpoint 1.
 struct MigrationFixture : PartsFixture {
     FleetSnapshot fleet;
 
     MigrationFixture() {
         settings.nodes = 1;
-        fleet.capacityPerLoad = 1e-7;  // 10e6 microseconds of work a second each
+        fleet.capacityPerLoad = 1e-7;  // capacity of each endpoint: 10e6 microseconds of work per second
         fleet.meanUtilisation = 20.0;
         list({endpointEntry(1), endpointEntry(2), endpointEntry(3)});
         report(1, 1.0);
@@ -200,18 +205,20 @@
 TEST(OverloadRelief, MigratesTheLoadAboveTheTarget) {
     MigrationFixture f;
     f.report(2, 0.1);
-    EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.80)) << "five per cent below the threshold";
+    EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.80))
+        << "The target is five per cent of capacity below the threshold.";
     f.endpoint(1).slowdown = 2.0;
-    EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.425)) << "half the threshold of a slow endpoint";
+    EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.425))
+        << "The target of a slow endpoint is half the threshold.";
 }
 
 TEST(OverloadRelief, IsBoundedByTheSpareCapacityOfOthers) {
     MigrationFixture f;
     f.endpoint(1).slowdown = 2.0;
-    f.report(2, 0.72);  // with endpoint 3 at its target, 0.08 of a capacity is left
+    f.report(2, 0.72);  // endpoint 3 has no spare capacity, endpoint 2 has 0.08 below the target of 0.80
     EXPECT_NEAR(*f.relief(), 0.08 * 10e6, 1.0);
     f.report(2, 2.0);
-    EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.85)) << "at least what is above the threshold";
+    EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.85)) << "At least the load above the threshold migrates.";
 }
 
 TEST(OverloadRelief, CountsEndpointsWithoutFreshReportsLikeTheRest) {
@@ -221,7 +228,7 @@
     f.endpoint(3).reported = false;
     EXPECT_NEAR(*f.relief(), 2 * 0.08 * 10e6, 1.0);
     f.endpoint(2).reported = false;
-    EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.85)) << "no report at all, and no division by zero";
+    EXPECT_DOUBLE_EQ(*f.relief(), 4e6 * (1.0 - 0.85)) << "Without any report there is no division by zero.";
 }
 
 TEST(Evacuation, MigratesHalfOffAnUnresponsiveEndpoint) {
@@ -261,7 +268,7 @@
     f.report(1, 0.2);
     f.report(2, 0.45);
     f.report(3, 0.45);
-    EXPECT_NE(f.evacuation(), std::nullopt) << "80 spare for 20";
+    EXPECT_NE(f.evacuation(), std::nullopt) << "The spare utilisation is 80 for a draining one of 20.";
     f.report(3, 0.46);
     EXPECT_EQ(f.evacuation(), std::nullopt);
 }
@@ -273,7 +280,7 @@
     EXPECT_EQ(f.evacuation(), std::nullopt);
 }
 
-// Adds a connection of load 10 to an endpoint.
+// Adds a connection to an endpoint, with a load of 10 microseconds of work per second.
 void addConnectionTo(RequestTable& requests, std::uint64_t id, std::uint64_t group, std::uint64_t endpoint) {
     Request& request = requests.findOrAdd(RequestId{id});
     request.connected = true;
@@ -306,7 +313,8 @@
     std::size_t migrated = 0;
     for (int i = 0; i < 4000; ++i)
         migrated += connectionsToMigrate(requests, EndpointId{1}, 13.0, random).size();
-    EXPECT_NEAR(static_cast<double>(migrated) / 4000, 1.3, 0.04) << "five standard deviations";
+    EXPECT_NEAR(static_cast<double>(migrated) / 4000, 1.3, 0.04)
+        << "The tolerance is five standard deviations.";
 }
 
 }  // namespace
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -1,4 +1,5 @@
-// Ejection of endpoints that fail health checks, and lower weights for those whose attempts fail.
+// Tests the ejection of endpoints that fail health checks, and the lower weights of endpoints that fail
+// attempts or are slow.
 #include "decision/outlier_detection.hpp"
 
 #include <gtest/gtest.h>
@@ -36,14 +37,15 @@
         }
         d.endAttempt(request, Outcome::Ok, true);
     }
-    EXPECT_LE(failed, 20) << "by its load report it would get 80 of the first attempts";
+    EXPECT_LE(failed, 20) << "By its load report alone it would get 80 of the first attempts.";
 }
 
-// ---- outlier_detection by itself ----
+// ---- unit tests of outlier_detection ----
 
-constexpr double kCapacityPerLoad = 1e-7;  // 10e6 microseconds of work a second
+constexpr double kCapacityPerLoad = 1e-7;  // for a capacity of 10e6 microseconds of work per second
 
-// An endpoint with connections of this node that load a typical endpoint to 0.4.
+// Returns an endpoint with connections of this node that cause a load over capacity of 0.4 at a typical
+// endpoint.
 Endpoint endpointWithConnections(double reportedLoad) {
     Endpoint endpoint;
     endpoint.ownConnections = 100;
@@ -73,7 +75,7 @@
     EXPECT_DOUBLE_EQ(endpoint.successRate, 0.8);
     for (int i = 0; i < 100; ++i)
         recordFailure(endpoint);
-    EXPECT_DOUBLE_EQ(endpoint.successRate, 0.05) << "so that its recovery is detected";
+    EXPECT_DOUBLE_EQ(endpoint.successRate, 0.05) << "Some attempts continue, so that recovery is detected.";
     for (int i = 0; i < 100; ++i)
         recordSuccess(endpoint);
     EXPECT_LE(endpoint.successRate, 1.0);
@@ -91,19 +93,23 @@
 }
 
 TEST(Slowdown, IsLearnedFromLoadOverExpectation) {
-    EXPECT_DOUBLE_EQ(slowdownAfterReports(endpointWithConnections(0.4), 10), 1.0) << "as expected";
-    EXPECT_DOUBLE_EQ(slowdownAfterReports(endpointWithConnections(0.1), 10), 1.0) << "never below 1";
-    // (0.95 + 0.15) over (0.4 + 0.15) is 2.
+    EXPECT_DOUBLE_EQ(slowdownAfterReports(endpointWithConnections(0.4), 10), 1.0)
+        << "The load is as expected.";
+    EXPECT_DOUBLE_EQ(slowdownAfterReports(endpointWithConnections(0.1), 10), 1.0)
+        << "The slowdown is never below 1.";
+    // The ratio (0.95 + 0.15) / (0.4 + 0.15) is 2.
     EXPECT_DOUBLE_EQ(slowdownAfterReports(endpointWithConnections(0.95), 1), 1.4);
     EXPECT_NEAR(slowdownAfterReports(endpointWithConnections(0.95), 50), 2.0, 1e-6);
-    EXPECT_NEAR(slowdownAfterReports(endpointWithConnections(1e9), 50), 10.0, 1e-6) << "the bound";
+    EXPECT_NEAR(slowdownAfterReports(endpointWithConnections(1e9), 50), 10.0, 1e-6)
+        << "The slowdown is clamped to 10.";
 }
 
 TEST(Slowdown, ExpectsTheLoadOfAllNodes) {
     EXPECT_DOUBLE_EQ(slowdownAfterReports(endpointWithConnections(0.8), 10, 2), 1.0);
     Endpoint counted = endpointWithConnections(0.8);
     counted.activeRequests = 200;  // twice this node's connections
-    EXPECT_DOUBLE_EQ(slowdownAfterReports(counted, 10, 50), 1.0) << "the count of requests takes precedence";
+    EXPECT_DOUBLE_EQ(slowdownAfterReports(counted, 10, 50), 1.0)
+        << "The reported number of requests takes precedence over the number of nodes.";
 }
 
 TEST(Slowdown, ExpectsMoreOfAnEndpointThatWarmsUp) {
@@ -118,7 +124,8 @@
     EXPECT_EQ(slowdownAfterReports(endpoint, 1), 1.0);
     endpoint.ownConnections = 1;
     endpoint.recentSends.push_back({RequestId{1}, kNow, 40'000, false});
-    EXPECT_EQ(slowdownAfterReports(endpoint, 1), 1.0) << "its only connection is too new for the report";
+    EXPECT_EQ(slowdownAfterReports(endpoint, 1), 1.0)
+        << "The only connection is too new to be included in the report.";
 }
 
 TEST(Slowdown, CountsAsSlowFromTheThresholdOn) {
@@ -126,9 +133,9 @@
     endpoint.slowdown = 1.29;
     EXPECT_FALSE(isSlow(endpoint, false));
     endpoint.setupSlowdown = 1.3;
-    EXPECT_TRUE(isSlow(endpoint, false)) << "either of both counts";
+    EXPECT_TRUE(isSlow(endpoint, false)) << "The larger of the two slowdowns counts.";
     endpoint.slowdown = 2.99;
-    EXPECT_FALSE(isSlow(endpoint, true)) << "groups may explain it";
+    EXPECT_FALSE(isSlow(endpoint, true)) << "With group affinity, groups can cause such a load.";
     endpoint.slowdown = 3.0;
     EXPECT_TRUE(isSlow(endpoint, true));
 }
@@ -138,7 +145,7 @@
     Endpoint distant;
     distant.roundTripMicros = 50'000;
     for (int i = 0; i < 50; ++i)
-        estimate.learnSetupSlowdown(distant, 60ms);  // less than its two round trips
+        estimate.learnSetupSlowdown(distant, 60ms);  // less than the two round trips of a set-up
     EXPECT_DOUBLE_EQ(distant.setupSlowdown, 1.0);
 }
 
@@ -146,7 +153,7 @@
     SetupTimeEstimate estimate;
     Endpoint endpoint;
     estimate.learnSetupSlowdown(endpoint, 200ms);
-    EXPECT_GT(endpoint.setupSlowdown, 2.0) << "nothing is known of other endpoints yet";
+    EXPECT_GT(endpoint.setupSlowdown, 2.0) << "No set-up times of other endpoints are known yet.";
     for (int i = 0; i < 300; ++i)
         estimate.learnSetupSlowdown(endpoint, 200ms);
     EXPECT_NEAR(endpoint.setupSlowdown, 1.0, 0.001);
--- a/tests/decision/send_rate_test.cpp
+++ b/tests/decision/send_rate_test.cpp
@@ -1,4 +1,4 @@
-// The load that a node sends a second.
+// Tests the load that a node sends per second.
 #include "decision/send_rate.hpp"
 
 #include <gtest/gtest.h>
@@ -30,21 +30,21 @@
     SendRate rate;
     rate.recordSend(sendAt(kNow - 2s, 70'000));
     rate.recordSend(sendAt(kNow - 1s, 50'000));
-    EXPECT_DOUBLE_EQ(rate.measure(kNow, 1e9), 25'000) << "the older one is outside of the window";
+    EXPECT_DOUBLE_EQ(rate.measure(kNow, 1e9), 25'000) << "The older send is outside the window.";
 }
 
 TEST(SendRate, WindowSpansFourSends) {
     SendRate rate;
     rate.recordSend(sendAt(kNow - 3999ms, 40'000));
     EXPECT_DOUBLE_EQ(rate.measure(kNow, 1.0), 10'000);
-    EXPECT_DOUBLE_EQ(rate.measure(kNow + 1ms, 1.0), 0.0) << "just outside of the window";
+    EXPECT_DOUBLE_EQ(rate.measure(kNow + 1ms, 1.0), 0.0) << "The send is just outside the window.";
 }
 
 TEST(SendRate, RemovesSendsAfterTenSeconds) {
     SendRate rate;
     rate.recordSend(sendAt(kNow, 40'000));
     EXPECT_EQ(rate.measure(kNow + 10s, 0.0), 0.0);
-    EXPECT_EQ(rate.measure(kNow, 0.0), 0.0) << "it is gone";
+    EXPECT_EQ(rate.measure(kNow, 0.0), 0.0) << "The send has been removed.";
 }
 
 TEST(SendRate, RemovesTheSendsOfOneRequest) {
--- a/tests/decision/timers_test.cpp
+++ b/tests/decision/timers_test.cpp
@@ -1,4 +1,4 @@
-// The intervals of the two timers.
+// Tests the intervals of the two timers.
 #include "decision/timers.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decision/utilisation_estimate_test.cpp
+++ b/tests/decision/utilisation_estimate_test.cpp
@@ -1,4 +1,4 @@
-// How utilisation is estimated between two load reports, and for slow endpoints.
+// Tests the estimate of utilisation between two load reports, and for slow endpoints.
 #include "decision/utilisation_estimate.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
     for (int i = 0; i < 40; ++i) {
         d.establishConnection(d.submitRequest());
     }
-    d.advance(30s);  // the node has learned the capacity by then
+    d.advance(30s);  // time to learn the capacity
     d.setReportedLoad(1, 0.1);
     d.setReportedLoad(2, 0.8);
     d.advance(1s);
@@ -27,10 +27,11 @@
     }
     EXPECT_EQ(d.attemptsTo(1) - before, first);
     EXPECT_GT(first, 10);
-    EXPECT_LT(first, 46) << "by the stale load reports alone it would be 49";
+    EXPECT_LT(first, 46) << "By the stale load reports alone it would be 49.";
 }
 
-// Requests that end at once; the first endpoint takes `first` to set a connection up, the others 5 ms.
+// Submits requests whose connections end immediately. Endpoint 1 takes `first` to set up a connection, the
+// others take 5 ms.
 void serveWithSetupTime(DecisionEngineDriver& d, int requests, Micros first) {
     for (int i = 0; i < requests; ++i) {
         const RequestId request = d.submitRequest();
@@ -42,29 +43,29 @@
     }
 }
 
-// The endpoint reports as little load as the others, but takes 100 ms to set a connection up.
+// Endpoint 1 reports as little load as the others, but takes 100 ms to set up a connection.
 TEST(UtilisationEstimate, SlowConnectionSetupReducesWeight) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 4, 0.2);
     serveWithSetupTime(d, 100, 100ms);
     const int first = d.attemptsTo(1);
-    EXPECT_LT(first, 20) << "an equal share would be 25";
+    EXPECT_LT(first, 20) << "An equal share would be 25.";
     serveWithSetupTime(d, 400, 100ms);
-    EXPECT_LT(d.attemptsTo(1) - first, 60) << "an equal share would be 100";
-    EXPECT_GT(d.attemptsTo(1) - first, 10) << "so that its recovery is detected";
+    EXPECT_LT(d.attemptsTo(1) - first, 60) << "An equal share would be 100.";
+    EXPECT_GT(d.attemptsTo(1) - first, 10) << "Some attempts continue, so that recovery is detected.";
 }
 
-// Where a typical endpoint takes a few milliseconds, one that takes twenty is slow too.
+// If a typical endpoint takes a few milliseconds, an endpoint that takes twenty counts as slow too.
 TEST(UtilisationEstimate, FastSetupOfOthersRevealsSlowEndpoint) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 8, 0.2);
     serveWithSetupTime(d, 1600, 20ms);
     const int slow = d.attemptsTo(1);
-    EXPECT_LT(slow, 140) << "an equal share would be 200";
+    EXPECT_LT(slow, 140) << "An equal share would be 200.";
     serveWithSetupTime(d, 1600, 5ms);
-    EXPECT_GT(d.attemptsTo(1) - slow, 180) << "it has recovered";
+    EXPECT_GT(d.attemptsTo(1) - slow, 180) << "The endpoint has recovered.";
 }
 
-// Guards against filling an endpoint that is many times slower like the others, only because groups share
-// work; a little slower may be due to the groups.
+// Guards against giving an endpoint that is many times slower the same share as the others because groups
+// share work. Only a small slowdown may be due to the groups.
 TEST(UtilisationEstimate, WithGroupAffinityOnlyMuchSlowerEndpointLosesWeight) {
     const auto attemptsToSlowEndpoint = [](Micros setupTime) {
         Settings settings = defaultSettings();
@@ -73,11 +74,12 @@
         serveWithSetupTime(d, 400, setupTime);
         return d.attemptsTo(1);
     };
-    EXPECT_LT(attemptsToSlowEndpoint(200ms), 50) << "an equal share would be 100";
+    EXPECT_LT(attemptsToSlowEndpoint(200ms), 50) << "An equal share would be 100.";
     EXPECT_GT(attemptsToSlowEndpoint(30ms), 75);
 }
 
-// One of a hundred nodes that sends a request every few seconds has to expect those of the others meanwhile.
+// One of a hundred nodes sends a request every few seconds. It has to assume that the others send requests in
+// the meantime.
 TEST(UtilisationEstimate, AssumesOtherNodesKeepSending) {
     Settings settings = defaultSettings();
     settings.nodes = 100;
@@ -89,24 +91,25 @@
     d.advance(4s);
     const RequestId second = d.submitRequestWithLoad(100'000);
     d.advance(100ms);
-    EXPECT_EQ(d.attempts(second), 0) << "99 other nodes have filled it since its load report";
+    EXPECT_EQ(d.attempts(second), 0) << "99 other nodes have filled the endpoint since its load report.";
 }
 
-// Each endpoint has a quarter of the connections; one reports four times the load for it.
+// Each endpoint has a quarter of the connections; endpoint 1 reports four times the load of the others.
 TEST(UtilisationEstimate, SlowEndpointGetsFewerRequestsThanItsReportSuggests) {
     DecisionEngineDriver d = fleetWithEqualConnections();
     d.setReportedLoad(1, 0.6);
     d.advance(6s);
     const int before = d.attemptsTo(1);
     d.serveRequests(200);
-    // By its load report alone, (100 - 60) to 3 * (100 - 15), it would get 27.
+    // By the load reports alone, with weights of (100 - 60) and 3 * (100 - 15), it would get 27.
     EXPECT_LT(d.attemptsTo(1) - before, 16);
-    EXPECT_GT(d.attemptsTo(1) - before, 0) << "so that its recovery is detected";
+    EXPECT_GT(d.attemptsTo(1) - before, 0) << "Some attempts continue, so that recovery is detected.";
 }
 
 TEST(UtilisationEstimate, ManyNodesDoNotOverfillTheOnlyEndpointWithCapacity) {
-    // 60 nodes and 20 endpoints, one of which reports a tenth of its capacity as free, 10 connections: each
-    // node has 16 of the fleet's 950, so 100 fill an endpoint. Each gets four requests within a second.
+    // There are 60 nodes and 20 endpoints. Each node has 16 of the fleet's 950 connections, so about 100
+    // connections fill an endpoint. One endpoint reports a tenth of its capacity as free, which is 10
+    // connections. Each node gets four requests within a second.
     int sent = 0;
     for (std::uint32_t node = 0; node < 60; ++node) {
         Settings settings = defaultSettings();
@@ -129,13 +132,13 @@
         }
         sent += d.attemptsTo(7) - before;
     }
-    EXPECT_GT(sent, 10) << "its free capacity is used";
-    EXPECT_LT(sent, 180) << "by the load reports alone it would get all 240 requests";
+    EXPECT_GT(sent, 10) << "The free capacity is used.";
+    EXPECT_LT(sent, 180) << "By the load reports alone the endpoint would get all 240 requests.";
 }
 
-// ---- utilisation_estimate by itself ----
+// ---- unit tests of utilisation_estimate ----
 
-// One node and one endpoint, whose capacity is 10e6 microseconds of work a second.
+// One node and one endpoint with a capacity of 10e6 microseconds of work per second.
 struct EstimateFixture : PartsFixture {
     FleetSnapshot fleet;
 
@@ -215,8 +218,8 @@
     f.settings.nodes = 3;
     f.report(1, 0.6);
     f.fleet.sendRate = 1e6;
-    f.fleet.spareUtilisation = 40.0;  // of this endpoint alone
-    // Two other nodes for the age of the report, with a lag of 0.7 s: 1.4e6, then 3.4e6.
+    f.fleet.spareUtilisation = 40.0;  // of the only endpoint
+    // Two other nodes send 1e6 per second since the report and its lag of 0.7 s: 1.4e6, then 3.4e6.
     EXPECT_DOUBLE_EQ(f.current(), 60.0 + 14.0);
     EXPECT_DOUBLE_EQ(f.current(kNow + 1s), 60.0 + 34.0);
 }
@@ -227,7 +230,7 @@
     f.report(1, 0.6);
     f.fleet.sendRate = 1e6;
     f.fleet.spareUtilisation = 0.0;
-    EXPECT_DOUBLE_EQ(f.current(), 60.0) << "and nothing is divided by zero";
+    EXPECT_DOUBLE_EQ(f.current(), 60.0) << "There must be no division by zero.";
 }
 
 }  // namespace
