--- a/src/decision/fleet_snapshot.cpp
+++ b/src/decision/fleet_snapshot.cpp
@@ -12,21 +12,21 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kRecentSendWindow = 2s;   // own sends in it tell what other nodes send now
-constexpr double kMaxSampleSeconds = 1.0;  // that one sample of the capacity counts
+constexpr Micros kRecentSendWindow = 2s;   // this node's sends in this window indicate what other nodes send
+constexpr double kMaxSampleSeconds = 1.0;  // maximum time for which one capacity sample counts
 
 // Sums over the listed endpoints.
 struct FleetTotals {
     double utilisation = 0.0;
-    double load = 0.0;  // over capacity
+    double load = 0.0;  // reported load over capacity
     double spareUtilisation = 0.0;
     double departedLoad = 0.0;
-    double ownLoad = 0.0;         // shown by reports, fresh or not
-    double ownLoadOfFresh = 0.0;  // shown by fresh reports
+    double ownLoad = 0.0;         // included in reports, fresh or not
+    double ownLoadOfFresh = 0.0;  // included in fresh reports
     double activeRequests = 0.0;
     int ownConnections = 0;
-    int fresh = 0;    // endpoints with a fresh report
-    int unknown = 0;  // usable ones without
+    int freshReports = 0;
+    int usableWithoutFreshReport = 0;
     int recentSends = 0;
 };
 
@@ -44,7 +44,7 @@
     totals.ownLoad += ownLoad;
     const bool usable = context.endpoints.isUsable(endpoint);
     if (!hasFreshReport(endpoint, context.now)) {
-        totals.unknown += usable ? 1 : 0;
+        totals.usableWithoutFreshReport += usable ? 1 : 0;
         return;
     }
     if (usable)
@@ -55,10 +55,10 @@
     totals.ownLoadOfFresh += ownLoad;
     totals.ownConnections += endpoint.ownConnections - static_cast<int>(endpoint.recentSends.size());
     totals.activeRequests += endpoint.activeRequests;
-    ++totals.fresh;
+    ++totals.freshReports;
 }
 
-FleetTotals sumUp(const DecisionContext& context) {
+FleetTotals computeTotals(const DecisionContext& context) {
     FleetTotals totals;
     for (const Endpoint& endpoint : context.endpoints) {
         if (!endpoint.listed) continue;
@@ -68,12 +68,14 @@
     return totals;
 }
 
-// The endpoints' own counts tell how much work there is in all; where they are not reported, the other nodes
-// are taken to have as much each as this one.
+// The work of all nodes' connections, in microseconds per second, from the numbers of active requests that
+// the endpoints report. Where these are not reported, each other node is assumed to have as much work as this
+// one.
 double workOfAllNodes(const FleetTotals& totals, std::uint32_t nodes) {
     if (totals.activeRequests > 0 && totals.ownConnections > 0)
         return totals.activeRequests * totals.ownLoadOfFresh / totals.ownConnections;
-    return totals.ownLoad * nodes * totals.fresh / std::max(totals.fresh + totals.unknown, 1);
+    return totals.ownLoad * nodes * totals.freshReports /
+           std::max(totals.freshReports + totals.usableWithoutFreshReport, 1);
 }
 
 }  // namespace
@@ -83,18 +85,19 @@
     outdated_ = false;
     const Micros elapsed = context.now - std::exchange(computedAt_, context.now);
     const double span = std::clamp(seconds(elapsed), 0.0, kMaxSampleSeconds);
-    const FleetTotals totals = sumUp(context);
+    const FleetTotals totals = computeTotals(context);
     snapshot_.sendRate = sendRate_.measure(context.now, arrivals.perSecond(context.now));
     snapshot_.recentSendCount = totals.recentSends;
     snapshot_.departedLoad = totals.departedLoad;
-    snapshot_.meanUtilisation = totals.fresh > 0 ? totals.utilisation / totals.fresh : kUnknownUtilisation;
+    snapshot_.meanUtilisation =
+        totals.freshReports > 0 ? totals.utilisation / totals.freshReports : kUnknownUtilisation;
     snapshot_.spareUtilisation = totals.spareUtilisation;
-    snapshot_.spareUtilisation +=
-        totals.unknown * spareUtilisation(snapshot_.meanUtilisation, context.saturationThreshold);
+    snapshot_.spareUtilisation += totals.usableWithoutFreshReport *
+                                  spareUtilisation(snapshot_.meanUtilisation, context.saturationThreshold);
     const double work = workOfAllNodes(totals, context.settings.nodes);
     capacity_.add({work, totals.load, totals.ownConnections}, span);
     snapshot_.capacityPerLoad =
-        1.0 / capacity_.typicalCapacity(kMediumCapacity, context.endpoints.meanListedSize());
+        1.0 / capacity_.typicalCapacity(kDefaultCapacity, context.endpoints.meanListedSize());
     return snapshot_;
 }
 
--- a/src/decision/kind_capacity.cpp
+++ b/src/decision/kind_capacity.cpp
@@ -5,9 +5,10 @@
 namespace ivyreel {
 namespace {
 
-// Reports of so many full endpoints tell as much of a kind as the other kinds do.
+// The sum of reported load over capacity at which the reports of a kind weigh as much as the other kinds and
+// the default.
 constexpr double kPriorLoad = 1.0;
-constexpr double kReportWeight = 0.005;  // of one report in the sums
+constexpr double kReportWeight = 0.005;  // weight of one report in the sums
 
 }  // namespace
 
@@ -17,13 +18,14 @@
     sums.load += endpoint.load * relativeSize - sums.load * kReportWeight;
 }
 
-double KindCapacityEstimate::connectionsAtCapacity(KindIndex kind, double relativeSize, double guess) const {
-    double least = guess;
+double KindCapacityEstimate::connectionsAtCapacity(KindIndex kind, double relativeSize,
+                                                   double defaultConnections) const {
+    double minimum = defaultConnections;
     for (const auto& [other, sums] : sums_)
-        if (sums.load >= kPriorLoad) least = std::min(least, sums.connections / sums.load);
+        if (sums.load >= kPriorLoad) minimum = std::min(minimum, sums.connections / sums.load);
     const auto known = sums_.find(kind);
     const Sums sums = known == sums_.end() ? Sums{} : known->second;
-    return relativeSize * (sums.connections + least * kPriorLoad) / (sums.load + kPriorLoad);
+    return relativeSize * (sums.connections + minimum * kPriorLoad) / (sums.load + kPriorLoad);
 }
 
 }  // namespace ivyreel
--- a/tests/decision/event_generator.hpp
+++ b/tests/decision/event_generator.hpp
@@ -1,7 +1,7 @@
-// Generates the events of one seeded world around a decision engine, carries the engine's actions out, and
-// computes the digest of all decisions. Its parts: the event loop and the actions (event_generator.cpp),
-// requests and connections (generated_requests.cpp), and changes of the endpoint list, bans and settings
-// (generated_changes.cpp).
+// Generates pseudo-random events for one decision engine, executes the engine's actions, and computes a
+// digest of all decisions. The class is implemented in event_generator.cpp (event loop and actions),
+// generated_requests.cpp (requests and connections) and generated_changes.cpp (changes of the endpoint list,
+// bans and settings).
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
         EndpointId endpoint{};
         AttemptIndex attempt{};
         int attempts = 0;
-        double load = 0.0;  // of its connection, microseconds of work a second
+        double load = 0.0;  // of its connection, microseconds of work per second
         bool attempting = false;
         bool connected = false;
     };
@@ -41,19 +41,19 @@
     void digestState();
 
     // ---- actions of the engine ----
-    void carryOut(const SetTimer& action);
-    void carryOut(const WatchEndpoints& action);
-    void carryOut(const Log& /*action*/) {}
-    void carryOut(const CancelAttempt& /*action*/) { ++counts_.cancellations; }
-    void carryOut(const RejectRequest& action);
-    void carryOut(const FailRequest& action);
-    void carryOut(const MigrateConnection& action);
-    void carryOut(const StartHealthCheck& action);
-    void carryOut(const StartAttempt& action);
+    void execute(const SetTimer& action);
+    void execute(const WatchEndpoints& action);
+    void execute(const Log& /*action*/) {}
+    void execute(const CancelAttempt& /*action*/) { ++counts_.cancellations; }
+    void execute(const RejectRequest& action);
+    void execute(const FailRequest& action);
+    void execute(const MigrateConnection& action);
+    void execute(const StartHealthCheck& action);
+    void execute(const StartAttempt& action);
     void completeHealthCheck(EndpointId endpoint, Outcome outcome, Micros elapsed);
 
     // ---- requests and connections ----
-    void arrive();
+    void generateArrival();
     RequestArrived randomRequest();
     void submit(const RequestArrived& arrival);
     void disconnect(RequestId id);
@@ -61,18 +61,18 @@
     void establish(RequestId id, Micros elapsed);
     void endAttempt(RequestId id, Outcome outcome, Micros elapsed, bool requestEnded);
     void closeConnection(Request& request);
-    void remove(RequestId id);
+    void removeRequest(RequestId id);
     void resumeConnections();
-    void measure();
+    void generateMeasurement();
     void deliverInvalidEvents();
     double meanConnectionSeconds() const;
     std::optional<LoadReport> reportWithResponse(EndpointId endpoint);
 
     // ---- changes of the endpoint list, bans and settings ----
-    void change();
+    void applyRandomChange();
     void changeEndpoint(SimulatedEndpoint& endpoint, std::uint64_t kind);
-    void announce(EndpointListKind kind);
-    void announce(const SimulatedEndpoint& endpoint);
+    void deliverEndpointList(EndpointListKind kind);
+    void deliverEndpointList(const SimulatedEndpoint& endpoint);
     void restart(SimulatedEndpoint& endpoint);
     void setAvailability(SimulatedEndpoint& endpoint, Availability availability);
     void ban(const SimulatedEndpoint& endpoint);
@@ -87,7 +87,7 @@
     DecisionHash hash_;
     ActionCounts counts_;
     Time now_{1'000'000};
-    std::multimap<Time, std::function<void()>> agenda_;
+    std::multimap<Time, std::function<void()>> scheduledSteps_;
     std::map<RequestId, Request> requests_;
     std::uint64_t lastRequestId_ = 0;
 };
--- a/tests/decision/generated_requests.cpp
+++ b/tests/decision/generated_requests.cpp
@@ -1,4 +1,4 @@
-// The part of the event generator that plays clients and connections.
+// The part of the event generator that simulates clients and connections.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -12,20 +12,20 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kOutcomes = 8;  // values of Outcome
+constexpr std::uint64_t kOutcomes = 8;  // number of values of Outcome
 constexpr double kLongestMeanConnectionSeconds = 600.0;
 
-// Arrivals come in bursts of 4 s every 20 s.
+// The factor of the arrival rate: a burst of 4 s every 20 s.
 double burstFactor(Time now) {
     return std::fmod(std::chrono::duration<double>(now).count(), 20.0) < 4.0 ? 2.0 : 0.8;
 }
 
 }  // namespace
 
-void EventGenerator::arrive() {
+void EventGenerator::generateArrival() {
     submit(randomRequest());
     const double rate = case_.arrivalsPerSecond * burstFactor(now_);
-    schedule(micros(-std::log(random_.next()) / rate), [this] { arrive(); });
+    schedule(micros(-std::log(random_.next()) / rate), [this] { generateArrival(); });
 }
 
 // Some requests have an unknown class or tenant, or an invalid load hint.
@@ -57,11 +57,11 @@
 
 void EventGenerator::disconnect(RequestId id) {
     if (!requests_.contains(id)) return;
-    remove(id);
+    removeRequest(id);
     handle(ClientDisconnected{id});
 }
 
-void EventGenerator::carryOut(const StartAttempt& action) {
+void EventGenerator::execute(const StartAttempt& action) {
     ++counts_.attempts;
     const auto at = requests_.find(action.request);
     if (at == requests_.end()) return;
@@ -146,14 +146,14 @@
     fleet_.removeConnection(request.endpoint, request.load);
 }
 
-void EventGenerator::remove(RequestId id) {
+void EventGenerator::removeRequest(RequestId id) {
     const auto at = requests_.find(id);
     if (at == requests_.end()) return;
     closeConnection(at->second);
     requests_.erase(at);
 }
 
-// Connections that were open before the start; the engine hears of some of them only.
+// Adds connections that were open before the start; the engine is notified of some of them only.
 void EventGenerator::resumeConnections() {
     for (std::uint64_t i = 0; i < 5; ++i) {
         Request request;
@@ -169,9 +169,9 @@
     }
 }
 
-// Measures the load or the message delay of one connection at random.
-void EventGenerator::measure() {
-    schedule(micros(random_.between(0.0, 4.0 / case_.arrivalsPerSecond)), [this] { measure(); });
+// Delivers a measurement of the load or the message delay of a random connection.
+void EventGenerator::generateMeasurement() {
+    schedule(micros(random_.between(0.0, 4.0 / case_.arrivalsPerSecond)), [this] { generateMeasurement(); });
     if (random_.chance(0.02)) return deliverInvalidEvents();
     if (requests_.empty()) return;
     auto at = requests_.begin();
@@ -185,7 +185,7 @@
                                 random_.chance(case_.lateMessages) ? late : random_.between(1.0, 49.0)});
 }
 
-// Unknown requests and endpoints, and invalid values.
+// Delivers events with unknown requests, unknown endpoints or invalid values.
 void EventGenerator::deliverInvalidEvents() {
     const RequestId unknown{lastRequestId_ + 1'000'000};
     const RequestId some = requests_.empty() ? unknown : requests_.begin()->first;
--- a/tests/decision/load_polling_test.cpp
+++ b/tests/decision/load_polling_test.cpp
@@ -1,4 +1,4 @@
-// Polling of endpoints' loads on behalf of a request.
+// Tests polling of endpoints' loads on behalf of a request.
 #include "decision/load_polling.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
     EXPECT_FALSE(isLoadKnown(endpoint, settings, kNow + 2s));
 }
 
-TEST(LoadPolling, LoadCountsAsKnownWherePollsTellNothing) {
+TEST(LoadPolling, LoadCountsAsKnownIfPollsCannotReturnIt) {
     Settings withoutChecks = defaultSettings();
     withoutChecks.limits.healthChecks = false;
     Settings withoutReports = defaultSettings();
@@ -59,16 +59,18 @@
     EXPECT_TRUE(canBePolled(endpoint, request, settings, kNow + 150ms - 1us));
     EXPECT_FALSE(canBePolled(endpoint, request, settings, kNow + 150ms));
     endpoint.healthCheck.outstanding = false;
-    EXPECT_FALSE(canBePolled(endpoint, request, settings, kNow + 1ms)) << "it has failed, or told nothing";
+    EXPECT_FALSE(canBePolled(endpoint, request, settings, kNow + 1ms))
+        << "The health check failed, or returned no load.";
 }
 
-TEST(LoadPolling, JoinsARecentHealthCheckOnly) {
+TEST(LoadPolling, WaitsForOutstandingHealthCheckOnlyIfRecent) {
     const Settings settings = defaultSettings();
     Endpoint endpoint = endpointOf(1);
     endpoint.healthCheck.startedAt = kNow;
     endpoint.healthCheck.outstanding = true;
     EXPECT_TRUE(canBePolled(endpoint, Request{}, settings, kNow + 150ms - 1us));
-    EXPECT_FALSE(canBePolled(endpoint, Request{}, settings, kNow + 150ms)) << "it is slow to answer";
+    EXPECT_FALSE(canBePolled(endpoint, Request{}, settings, kNow + 150ms))
+        << "The endpoint is slow to answer.";
 }
 
 }  // namespace
