--- a/src/membership/call_policy.cpp
+++ b/src/membership/call_policy.cpp
@@ -111,8 +111,8 @@
     return kResponseTimeoutFactor * hedgingDelay();
 }
 
-Micros CallPolicy::randomDelay(Micros most) {
-    const auto drawn = static_cast<double>(most.count()) * random_.next();
+Micros CallPolicy::randomDelay(Micros upperBound) {
+    const auto drawn = static_cast<double>(upperBound.count()) * random_.next();
     return std::max(kMinDelay, Micros{static_cast<Micros::rep>(drawn)});
 }
 
@@ -135,10 +135,10 @@
     const bool watchLost =
         end.failure == CallFailure::HeartbeatTimeout || end.failure == CallFailure::WatchEnded;
     if (watchLost && end.watchAge >= kStableWatchAge) return {Micros{0}, false};
-    const Micros half = std::max(*pushGrace_ / 2, kMinDelay);
-    if (end.failure == CallFailure::Unreachable) return {half, false};
-    const Micros most = std::min(half, kPushBackoff);
-    return {most / 2 + randomDelay(most / 2), true};
+    const Micros halfGrace = std::max(*pushGrace_ / 2, kMinDelay);
+    if (end.failure == CallFailure::Unreachable) return {halfGrace, false};
+    const Micros upperBound = std::min(halfGrace, kPushBackoff);
+    return {upperBound / 2 + randomDelay(upperBound / 2), true};
 }
 
 void CallPolicy::recordQueueTime(Micros elapsed) {
@@ -152,8 +152,8 @@
 
 // The longest backoff after which a call that is queued for the longest time still gets its response in time.
 Micros CallPolicy::maxBackoff() const {
-    const Micros inTime = kPropagationDeadline - longestQueueTime() - kSchedulingMargin;
-    return std::clamp(inTime, kMinBackoffBound, kMaxBackoff);
+    const Micros timeForBackoff = kPropagationDeadline - longestQueueTime() - kSchedulingMargin;
+    return std::clamp(timeForBackoff, kMinBackoffBound, kMaxBackoff);
 }
 
 }  // namespace ivyreel
--- a/src/membership/call_policy.hpp
+++ b/src/membership/call_policy.hpp
@@ -71,7 +71,7 @@
   private:
     static constexpr std::size_t kRecordedQueueTimes = 8;
 
-    Micros randomDelay(Micros most);
+    Micros randomDelay(Micros upperBound);
     Micros fleetJitter();
     Micros overloadBackoff();
     Retry pushRetry(const CallEnd& end);
--- a/src/membership/drain_evidence.cpp
+++ b/src/membership/drain_evidence.cpp
@@ -14,10 +14,10 @@
     return report.loadOverCapacity ? report.loadOverCapacity : report.cpuUtilisation;
 }
 
-bool isPrompt(const ServerRefusedConnection& rejection) {
+bool isPrompt(const EndpointRejectedConnection& rejection) {
     const auto elapsed = static_cast<double>(rejection.elapsed.count());
     const auto timeout = static_cast<double>(rejection.timeout.count());
-    return elapsed < kPromptShare * timeout;
+    return elapsed < kPromptRejectionShare * timeout;
 }
 
 std::vector<EndpointId> difference(const std::set<EndpointId>& from, const std::set<EndpointId>& without) {
@@ -35,7 +35,7 @@
 
 WithholdingChange DrainEvidence::handle(Time now, const DrainEvent& event) {
     removeExpired(now);
-    std::visit([this, now](const auto& which) { on(now, which); }, event);
+    std::visit([this, now](const auto& typedEvent) { on(now, typedEvent); }, event);
     return update();
 }
 
@@ -47,40 +47,40 @@
 Time DrainEvidence::nextExpiry() const {
     Time next = Time::max();
     for (const auto& [endpoint, evidence] : evidence_) {
-        next = std::min(next, evidence.confirmed + kEvidenceLifetime);
+        next = std::min(next, evidence.lastConfirmedAt + kEvidenceLifetime);
     }
     return next;
 }
 
-void DrainEvidence::on(Time now, const ServerSentMove& event) {
+void DrainEvidence::on(Time now, const EndpointSentMove& event) {
     if (live_ || !isListed(event.endpoint)) return;
     Evidence& evidence = evidence_[event.endpoint];
     if (evidence.kind != Kind::Move) evidence.sufficientSince = now;
     evidence.kind = Kind::Move;
-    evidence.confirmed = now;
+    evidence.lastConfirmedAt = now;
 }
 
 // BUSY neither renews nor replaces a MOVE: weak evidence does not prolong strong evidence.
-void DrainEvidence::on(Time now, const ServerRefusedConnection& event) {
+void DrainEvidence::on(Time now, const EndpointRejectedConnection& event) {
     if (event.report) recordUtilisation(now, event.endpoint, *event.report);
     if (live_ || !isListed(event.endpoint)) return;
-    if (!isPrompt(event) || looksFull(now, event.endpoint)) return;
+    if (!isPrompt(event) || mayBeFull(now, event.endpoint)) return;
     Evidence& evidence = evidence_[event.endpoint];
     if (evidence.kind == Kind::Move) return;
     ++evidence.rejections;
     if (evidence.rejections == kRejectionsNeeded) evidence.sufficientSince = now;
-    evidence.confirmed = now;
+    evidence.lastConfirmedAt = now;
 }
 
 // An attempt that began earlier may have been accepted before the drain, however late its UP comes. One that
 // began at the same time is the retry after a BUSY.
-void DrainEvidence::on(Time /*now*/, const ServerAcceptedConnection& event) {
+void DrainEvidence::on(Time /*now*/, const EndpointAcceptedConnection& event) {
     const auto found = evidence_.find(event.endpoint);
     if (found == evidence_.end()) return;
-    if (event.attemptBegan >= found->second.confirmed) evidence_.erase(found);
+    if (event.attemptStartedAt >= found->second.lastConfirmedAt) evidence_.erase(found);
 }
 
-void DrainEvidence::on(Time now, const ServerReportedLoad& event) {
+void DrainEvidence::on(Time now, const EndpointReportedLoad& event) {
     recordUtilisation(now, event.endpoint, event.report);
 }
 
@@ -90,12 +90,12 @@
 }
 
 void DrainEvidence::on(Time /*now*/, const ListEntriesReceived& event) {
-    if (event.whole) {
+    if (event.full) {
         for (auto& [id, endpoint] : endpoints_) {
             endpoint.availability = Availability::Gone;
         }
     }
-    for (const ListedEndpoint& entry : event.servers) {
+    for (const ListedEndpoint& entry : event.entries) {
         updateEndpoint(entry);
     }
     std::erase_if(evidence_, [this](const auto& entry) { return !isListed(entry.first); });
@@ -112,11 +112,11 @@
 }
 
 // An endpoint of unknown utilisation may be full: its BUSY is no evidence.
-bool DrainEvidence::looksFull(Time now, EndpointId endpoint) const {
+bool DrainEvidence::mayBeFull(Time now, EndpointId endpoint) const {
     const std::optional<Utilisation>& utilisation = endpoints_.at(endpoint).utilisation;
     if (!utilisation) return true;
-    if (now - utilisation->reported > kUtilisationLifetime) return true;
-    return utilisation->loadOverCapacity > kClearlyBelowFull;
+    if (now - utilisation->reportedAt > kUtilisationLifetime) return true;
+    return utilisation->loadOverCapacity > kFullUtilisationThreshold;
 }
 
 bool DrainEvidence::isListed(EndpointId endpoint) const {
@@ -126,17 +126,18 @@
 
 void DrainEvidence::updateEndpoint(const ListedEndpoint& entry) {
     EndpointState& endpoint = endpoints_[entry.id];
-    if (entry.started > endpoint.started) {
+    if (entry.startedAt > endpoint.startedAt) {
         evidence_.erase(entry.id);
         endpoint.utilisation.reset();
     }
     endpoint.availability = entry.availability;
-    endpoint.started = entry.started;
+    endpoint.startedAt = entry.startedAt;
 }
 
 void DrainEvidence::removeExpired(Time now) {
-    std::erase_if(evidence_,
-                  [now](const auto& entry) { return now >= entry.second.confirmed + kEvidenceLifetime; });
+    std::erase_if(evidence_, [now](const auto& entry) {
+        return now >= entry.second.lastConfirmedAt + kEvidenceLifetime;
+    });
 }
 
 std::size_t DrainEvidence::usableEndpoints() const {
--- a/src/membership/drain_evidence.hpp
+++ b/src/membership/drain_evidence.hpp
@@ -36,14 +36,14 @@
 
 // Load over capacity up to which an endpoint does not look full. The decision engine fills endpoints to about
 // 0.75, so lack of capacity is an unlikely cause of BUSY below this.
-inline constexpr double kClearlyBelowFull = 0.7;
+inline constexpr double kFullUtilisationThreshold = 0.7;
 
 // An older load report counts as none. Health checks bring one every 5 s at least; one of them may fail.
 inline constexpr Micros kUtilisationLifetime = std::chrono::seconds(10);
 
 // A BUSY that took this part of the attempt's timeout or more counts as "the client's time is up", the
 // protocol's third reason for it. A draining endpoint responds at once.
-inline constexpr double kPromptShare = 0.5;
+inline constexpr double kPromptRejectionShare = 0.5;
 
 // At most one ready endpoint in this many is withheld, rounded up: a fault that makes many endpoints send
 // MOVE must not empty the pool.
@@ -55,12 +55,12 @@
 // ---- events ----
 
 // An endpoint ended a client's connection with MOVE. A MOVE that the node itself sent does not count.
-struct ServerSentMove {
+struct EndpointSentMove {
     EndpointId endpoint{};
 };
 
 // An endpoint rejected a new connection with BUSY.
-struct ServerRefusedConnection {
+struct EndpointRejectedConnection {
     EndpointId endpoint{};
     std::optional<LoadReport> report;  // that came with the response
     Micros elapsed{0};                 // since the start of the attempt
@@ -68,13 +68,13 @@
 };
 
 // An endpoint accepted a new connection with UP.
-struct ServerAcceptedConnection {
+struct EndpointAcceptedConnection {
     EndpointId endpoint{};
-    Time attemptBegan{0};
+    Time attemptStartedAt{0};
 };
 
 // An endpoint reported its load, with a health check or at the end of a connection.
-struct ServerReportedLoad {
+struct EndpointReportedLoad {
     EndpointId endpoint{};
     LoadReport report;
 };
@@ -88,13 +88,13 @@
 struct ListedEndpoint {
     EndpointId id{};
     Availability availability = Availability::Ready;
-    Time started{0};  // 0: long ago
+    Time startedAt{0};  // 0: long ago
 };
 
 // Entries of the endpoint list were received: the complete list, or those that changed.
 struct ListEntriesReceived {
-    bool whole = false;
-    std::vector<ListedEndpoint> servers;
+    bool full = false;
+    std::vector<ListedEndpoint> entries;
 };
 
 // Operators have banned an endpoint, or lifted the ban. A banned endpoint does not count as ready for the
@@ -105,8 +105,8 @@
 };
 
 using DrainEvent =
-    std::variant<ServerSentMove, ServerRefusedConnection, ServerAcceptedConnection, ServerReportedLoad,
-                 ListFreshnessChanged, ListEntriesReceived, OperatorBanChanged>;
+    std::variant<EndpointSentMove, EndpointRejectedConnection, EndpointAcceptedConnection,
+                 EndpointReportedLoad, ListFreshnessChanged, ListEntriesReceived, OperatorBanChanged>;
 
 // ---- the result ----
 
@@ -139,35 +139,35 @@
         Kind kind = Kind::Rejections;
         int rejections = 0;
         Time sufficientSince{0};
-        Time confirmed{0};  // the last time
+        Time lastConfirmedAt{0};
 
         bool isSufficient() const { return kind == Kind::Move || rejections >= kRejectionsNeeded; }
     };
 
     struct Utilisation {
         double loadOverCapacity = 0.0;
-        Time reported{0};
+        Time reportedAt{0};
     };
 
     struct EndpointState {
         Availability availability = Availability::Gone;
-        Time started{0};
+        Time startedAt{0};
         bool bannedByOperator = false;
         std::optional<Utilisation> utilisation;
 
         bool isUsable() const { return availability == Availability::Ready && !bannedByOperator; }
     };
 
-    void on(Time now, const ServerSentMove& event);
-    void on(Time now, const ServerRefusedConnection& event);
-    void on(Time now, const ServerAcceptedConnection& event);
-    void on(Time now, const ServerReportedLoad& event);
+    void on(Time now, const EndpointSentMove& event);
+    void on(Time now, const EndpointRejectedConnection& event);
+    void on(Time now, const EndpointAcceptedConnection& event);
+    void on(Time now, const EndpointReportedLoad& event);
     void on(Time now, const ListFreshnessChanged& event);
     void on(Time now, const ListEntriesReceived& event);
     void on(Time now, const OperatorBanChanged& event);
 
     void recordUtilisation(Time now, EndpointId endpoint, const LoadReport& report);
-    bool looksFull(Time now, EndpointId endpoint) const;
+    bool mayBeFull(Time now, EndpointId endpoint) const;
     bool isListed(EndpointId endpoint) const;
     void updateEndpoint(const ListedEndpoint& entry);
     void removeExpired(Time now);
--- a/src/membership/membership_call.cpp
+++ b/src/membership/membership_call.cpp
@@ -39,7 +39,7 @@
 bool MembershipCall::advance() {
     if (state_ == State::Connecting) checkConnection();
     if (state_ == State::Connecting || state_ == State::Failed) return false;
-    return exchange();
+    return transferData();
 }
 
 void MembershipCall::checkConnection() {
@@ -55,7 +55,7 @@
     }
 }
 
-bool MembershipCall::exchange() {
+bool MembershipCall::transferData() {
     connection_.send(request_, sent_);
     const bool received = connection_.fill();
     try {
@@ -63,7 +63,7 @@
     } catch (const std::exception& error) {
         fail(CallFailure::MalformedResponse, error.what());
     }
-    if (state_ != State::Failed) checkEnd(received);
+    if (state_ != State::Failed) checkForEnd(received);
     return received;
 }
 
@@ -79,7 +79,7 @@
 }
 
 // Messages that were received together with the end are read first.
-void MembershipCall::checkEnd(bool received) {
+void MembershipCall::checkForEnd(bool received) {
     const bool watching = state_ == State::Watching;
     const CallFailure kind = watching ? CallFailure::WatchEnded : CallFailure::Overloaded;
     const std::string what = watching ? "the watch" : "the call";
--- a/src/membership/membership_call.hpp
+++ b/src/membership/membership_call.hpp
@@ -52,10 +52,10 @@
   private:
     void connect(Signal& signal, const Address& discovery);
     void checkConnection();
-    bool exchange();
+    bool transferData();
     void readResponse();
     void readBody();
-    void checkEnd(bool received);
+    void checkForEnd(bool received);
     void fail(CallFailure kind, std::string reason);
 
     Time startedAt_;
--- a/src/membership/membership_watcher.cpp
+++ b/src/membership/membership_watcher.cpp
@@ -81,7 +81,7 @@
         for (const auto& call : calls) {
             if (call->advance()) signal_.raise();
         }
-        std::unique_ptr<MembershipCall> answered = takeOpened(calls);
+        std::unique_ptr<MembershipCall> answered = takeAnswered(calls);
         if (answered) {
             cancelAll(calls, "another call was answered first");
             co_return answered;
@@ -104,7 +104,7 @@
     hedgeAt_ = scheduler_.now() + policy_.hedgingDelay();
 }
 
-std::unique_ptr<MembershipCall> MembershipWatcher::takeOpened(Calls& calls) {
+std::unique_ptr<MembershipCall> MembershipWatcher::takeAnswered(Calls& calls) {
     const auto at =
         std::find_if(calls.begin(), calls.end(), [](const auto& call) { return call->hasMessages(); });
     if (at == calls.end()) return nullptr;
@@ -167,7 +167,7 @@
 }
 
 void MembershipWatcher::callFailed(const MembershipCall& call, const MembershipCall::Failure& failure) {
-    ended({failure.kind, scheduler_.now() - call.startedAt(), Micros{0}}, failure.reason);
+    handleEnd({failure.kind, scheduler_.now() - call.startedAt(), Micros{0}}, failure.reason);
 }
 
 // Messages that came together with the end of the watch are applied before it is handled.
@@ -178,13 +178,13 @@
         apply(watch.takeMessages());
         if (watch.state() == MembershipCall::State::Failed) {
             const auto& [kind, reason] = watch.failure();
-            ended({kind, elapsed, scheduler_.now() - openedAt}, reason);
+            handleEnd({kind, elapsed, scheduler_.now() - openedAt}, reason);
             co_return;
         }
         const Time heartbeatDueAt = lastMessageAt_ + kHeartbeatTimeout;
         if (scheduler_.now() >= heartbeatDueAt) {
-            ended({CallFailure::HeartbeatTimeout, elapsed, scheduler_.now() - openedAt},
-                  "heartbeat timeout of the watch");
+            handleEnd({CallFailure::HeartbeatTimeout, elapsed, scheduler_.now() - openedAt},
+                      "heartbeat timeout of the watch");
             co_return;
         }
         co_await signal_.wait(heartbeatDueAt);
@@ -196,7 +196,7 @@
     }
 }
 
-void MembershipWatcher::ended(const CallEnd& end, const std::string& reason) {
+void MembershipWatcher::handleEnd(const CallEnd& end, const std::string& reason) {
     const Retry retry = policy_.nextRetry(end);
     const Time now = scheduler_.now();
     firstCallEnded_ = true;
@@ -234,10 +234,10 @@
 }
 
 void MembershipWatcher::markLive() {
-    const Micros without = scheduler_.now() - freshness_.since;
-    timeWithoutWatch_ += without;
+    const Micros gap = scheduler_.now() - freshness_.since;
+    timeWithoutWatch_ += gap;
     firstCallEnded_ = true;
-    spdlog::info("the list is live after {:.2f} s without a watch, version {}", inSeconds(without),
+    spdlog::info("the list is live after {:.2f} s without a watch, version {}", inSeconds(gap),
                  table_.version());
     setFreshness(ListFreshness::State::Live, scheduler_.now());
 }
@@ -245,8 +245,8 @@
 ListStatus MembershipWatcher::status() const {
     const Time now = scheduler_.now();
     const Micros age = lastMessageAt_ == Time{0} ? now - freshness_.since : now - lastMessageAt_;
-    const Micros withoutNow = live() ? Micros{0} : now - freshness_.since;
-    return {freshness_.state, age, timeWithoutWatch_ + withoutNow};
+    const Micros currentGap = live() ? Micros{0} : now - freshness_.since;
+    return {freshness_.state, age, timeWithoutWatch_ + currentGap};
 }
 
 void MembershipWatcher::setFreshness(ListFreshness::State state, Time since) {
--- a/src/membership/membership_watcher.hpp
+++ b/src/membership/membership_watcher.hpp
@@ -68,13 +68,13 @@
     Task<void> waitForNextCall();
 
     void addCall(Calls& calls);
-    std::unique_ptr<MembershipCall> takeOpened(Calls& calls);
+    std::unique_ptr<MembershipCall> takeAnswered(Calls& calls);
     void dropFailed(Calls& calls);
     void dropTimedOut(Calls& calls);
     void cancelAll(Calls& calls, std::string_view reason);
     Time nextTimeout(const Calls& calls) const;
     void callFailed(const MembershipCall& call, const MembershipCall::Failure& failure);
-    void ended(const CallEnd& end, const std::string& reason);
+    void handleEnd(const CallEnd& end, const std::string& reason);
     void countFailure(CallFailure failure);
 
     void apply(const std::vector<WatchMessage>& messages);
--- a/src/requests/request_tracker.cpp
+++ b/src/requests/request_tracker.cpp
@@ -27,7 +27,7 @@
 // ---- life cycle ----
 
 void RequestTracker::start(const std::vector<MemberEntry>& knownEndpoints) {
-    handle(Started{});
+    sendToEngine(Started{});
     applyListChange(EndpointListKind::Cached, knownEndpoints);
     recordListEntries(true, knownEndpoints);
 }
@@ -36,13 +36,13 @@
     configuredClasses_ = {settings.classNames.begin(), settings.classNames.end()};
     keepIndices(settings, settings_);
     settings_ = std::move(settings);
-    handle(SettingsChanged{settings_.settings});
+    sendToEngine(SettingsChanged{settings_.settings});
 }
 
 Time RequestTracker::tick() {
     const Time now = environment_.now();
     while (const auto token = timers_.takeDue(now)) {
-        handle(TimerExpired{*token});
+        sendToEngine(TimerExpired{*token});
     }
     applyWithholding(drainEvidence_.expire(now));
     return std::min(timers_.nextDue(), drainEvidence_.nextExpiry());
@@ -56,7 +56,7 @@
 void RequestTracker::importState(ExportedState state) {
     std::vector<double>& loads = state.learnedState.fleet.meanLoadByClass;
     loads = reorderedValues(loads, state.classNames, settings_.classNames);
-    handle(LearnedStateInherited{std::move(state.learnedState)});
+    sendToEngine(LearnedStateInherited{std::move(state.learnedState)});
     for (const EndpointId endpoint : state.listed) {
         endpoints_.add(endpoint);
     }
@@ -68,9 +68,9 @@
 // ---- requests ----
 
 std::optional<Decision> RequestTracker::takeDecision(TrackedRequest& request) {
-    if (!request.inEngine_ && !request.decision_) {
+    if (!request.knownToEngine_ && !request.decision_) {
         addRequest(request);
-        handle(request.arrival_);
+        sendToEngine(request.arrival_);
     }
     const std::optional<Decision> decision = std::exchange(request.decision_, std::nullopt);
     const auto* forward = decision ? std::get_if<ForwardTo>(&*decision) : nullptr;
@@ -88,8 +88,8 @@
 }
 
 void RequestTracker::abandon(TrackedRequest& request) {
-    if (!request.inEngine_) return;
-    handle(ClientDisconnected{request.arrival_.request});
+    if (!request.knownToEngine_) return;
+    sendToEngine(ClientDisconnected{request.arrival_.request});
     removeRequest(request);
     deliver(request, RequestFailure{});
 }
@@ -104,12 +104,12 @@
 }
 
 void RequestTracker::addRequest(TrackedRequest& request) {
-    request.inEngine_ = true;
+    request.knownToEngine_ = true;
     requests_[static_cast<std::uint64_t>(request.arrival_.request)] = &request;
 }
 
 void RequestTracker::removeRequest(TrackedRequest& request) {
-    request.inEngine_ = false;
+    request.knownToEngine_ = false;
     requests_.erase(static_cast<std::uint64_t>(request.arrival_.request));
 }
 
@@ -139,13 +139,13 @@
     request.endpoint_ = endpoint;
     request.attempts_ = 1;
     addRequest(request);
-    handle(ConnectionResumed{request.arrival_, endpoint});
+    sendToEngine(ConnectionResumed{request.arrival_, endpoint});
 }
 
 void RequestTracker::connectionEstablished(TrackedRequest& request, Micros elapsed) {
-    handle(
+    sendToEngine(
         ConnectionEstablished{request.arrival_.request, request.attemptIndex(), request.endpoint_, elapsed});
-    recordEvidence(ServerAcceptedConnection{request.endpoint_, request.attemptStartedAt_});
+    recordEvidence(EndpointAcceptedConnection{request.endpoint_, request.attemptStartedAt_});
 }
 
 void RequestTracker::attemptEnded(TrackedRequest& request, Outcome outcome, Micros elapsed,
@@ -153,20 +153,21 @@
     // Evidence first: the decision module's next attempt must not be at an endpoint that has just shown that
     // it drains.
     if (outcome == Outcome::Rejected) {
-        recordEvidence(ServerRefusedConnection{request.endpoint_, report, elapsed, request.attemptTimeout_});
+        recordEvidence(
+            EndpointRejectedConnection{request.endpoint_, report, elapsed, request.attemptTimeout_});
     } else {
         recordLoad(request.endpoint_, report);
     }
-    handle(AttemptEnded{request.arrival_.request, request.attemptIndex(), request.endpoint_, outcome, elapsed,
-                        false, report});
+    sendToEngine(AttemptEnded{request.arrival_.request, request.attemptIndex(), request.endpoint_, outcome,
+                              elapsed, false, report});
 }
 
 void RequestTracker::connectionEnded(TrackedRequest& request, Outcome outcome,
                                      const std::optional<LoadReport>& report) {
-    if (!request.inEngine_) return;
+    if (!request.knownToEngine_) return;
     recordLoad(request.endpoint_, report);
-    handle(AttemptEnded{request.arrival_.request, request.attemptIndex(), request.endpoint_, outcome,
-                        Micros{0}, true, report});
+    sendToEngine(AttemptEnded{request.arrival_.request, request.attemptIndex(), request.endpoint_, outcome,
+                              Micros{0}, true, report});
     removeRequest(request);
 }
 
@@ -175,16 +176,16 @@
 // idle, and the node would send it more of them.
 void RequestTracker::loadFigureReceived(TrackedRequest& request, double figure) {
     if (settings_.reportsMessageDelay && figure < kMinimumLoadShare * request.expectedLoad_) {
-        handle(MessageDelayMeasured{request.arrival_.request, request.endpoint_, figure});
+        sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, figure});
         return;
     }
     request.arrival_.loadHint = figure;
-    handle(ConnectionLoadMeasured{request.arrival_.request, request.endpoint_, figure});
+    sendToEngine(ConnectionLoadMeasured{request.arrival_.request, request.endpoint_, figure});
 }
 
 void RequestTracker::messageDelayMeasured(TrackedRequest& request, Micros delay) {
     const double delayMs = static_cast<double>(delay.count()) / kMicrosPerMilli;
-    handle(MessageDelayMeasured{request.arrival_.request, request.endpoint_, delayMs});
+    sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, delayMs});
 }
 
 // ---- reports on endpoints ----
@@ -192,11 +193,11 @@
 void RequestTracker::healthCheckCompleted(EndpointId endpoint, Outcome outcome, Micros elapsed,
                                           const std::optional<LoadReport>& report) {
     recordLoad(endpoint, report);
-    handle(HealthCheckCompleted{endpoint, outcome, elapsed, report});
+    sendToEngine(HealthCheckCompleted{endpoint, outcome, elapsed, report});
 }
 
 void RequestTracker::movedByEndpoint(EndpointId endpoint) {
-    recordEvidence(ServerSentMove{endpoint});
+    recordEvidence(EndpointSentMove{endpoint});
 }
 
 // The decision module has the list before withholding ends: it must not choose an endpoint that the list has
@@ -207,7 +208,7 @@
 }
 
 void RequestTracker::endpointListFailed() {
-    handle(EndpointListChanged{EndpointListKind::Failed, {}});
+    sendToEngine(EndpointListChanged{EndpointListKind::Failed, {}});
 }
 
 void RequestTracker::setListFreshness(const ListFreshness& freshness) {
@@ -230,7 +231,8 @@
 
 // The decision module knows one kind of ban, whatever its cause.
 void RequestTracker::updateBan(EndpointId endpoint) {
-    handle(EndpointBanChanged{endpoint, endpoints_.isBanned(endpoint) || drainEvidence_.withholds(endpoint)});
+    sendToEngine(
+        EndpointBanChanged{endpoint, endpoints_.isBanned(endpoint) || drainEvidence_.withholds(endpoint)});
 }
 
 void RequestTracker::recordEvidence(const DrainEvent& event) {
@@ -238,13 +240,13 @@
 }
 
 void RequestTracker::recordLoad(EndpointId endpoint, const std::optional<LoadReport>& report) {
-    if (report) recordEvidence(ServerReportedLoad{endpoint, *report});
+    if (report) recordEvidence(EndpointReportedLoad{endpoint, *report});
 }
 
 void RequestTracker::recordListEntries(bool full, const std::vector<MemberEntry>& entries) {
     ListEntriesReceived received{full, {}};
     for (const MemberEntry& entry : entries) {
-        received.servers.push_back({endpointIdOf(entry.name), entry.availability, entry.started});
+        received.entries.push_back({endpointIdOf(entry.name), entry.availability, entry.started});
     }
     recordEvidence(received);
 }
@@ -286,10 +288,10 @@
 void RequestTracker::applyListChange(EndpointListKind kind, const std::vector<MemberEntry>& entries) {
     const EndpointListChanged change = toEndpointListChanged(kind, entries, settings_);
     endpoints_.update(change);
-    handle(change);
+    sendToEngine(change);
 }
 
-void RequestTracker::handle(const Event& event) {
+void RequestTracker::sendToEngine(const Event& event) {
     std::vector<Action> actions;
     engine_->handle(environment_.now(), event, actions);
     for (const Action& action : actions) {
--- a/src/requests/request_tracker.hpp
+++ b/src/requests/request_tracker.hpp
@@ -125,7 +125,7 @@
     void requestMigration(RequestId request);
 
     // The decision module.
-    void handle(const Event& event);
+    void sendToEngine(const Event& event);
     void perform(const Action& action);
     void applyListChange(EndpointListKind kind, const std::vector<MemberEntry>& entries);
 
--- a/src/requests/tracked_request.cpp
+++ b/src/requests/tracked_request.cpp
@@ -14,7 +14,7 @@
       expectedLoad_(attributes.loadHint.value_or(0.0)) {}
 
 TrackedRequest::~TrackedRequest() {
-    if (inEngine_) tracker_.handle(ClientDisconnected{arrival_.request});
+    if (knownToEngine_) tracker_.sendToEngine(ClientDisconnected{arrival_.request});
     tracker_.removeRequest(*this);
 }
 
--- a/src/requests/tracked_request.hpp
+++ b/src/requests/tracked_request.hpp
@@ -54,8 +54,8 @@
     RequestTracker& tracker_;
     DecisionListener& listener_;
     RequestArrived arrival_;
-    double expectedLoad_;    // the client's load hint; 0: none
-    bool inEngine_ = false;  // the decision module counts the request
+    double expectedLoad_;         // the client's load hint; 0: none
+    bool knownToEngine_ = false;  // the decision module counts the request
     bool shouldMigrate_ = false;
     int attempts_ = 0;
     EndpointId endpoint_{};
--- a/src/simulator/dispatcher.cpp
+++ b/src/simulator/dispatcher.cpp
@@ -9,85 +9,85 @@
 
 namespace ivyreel::simulator {
 
-std::vector<std::uint8_t> Dispatcher::answer(std::span<const std::uint8_t> frame) {
+std::vector<std::uint8_t> Dispatcher::handleFrame(std::span<const std::uint8_t> frame) {
     FrameReader reader{frame, 0};
     const std::size_t length = reader.u32();
-    if (length != reader.remaining()) reader.reject("frame length does not match");
+    if (length != reader.remaining()) reader.throwError("frame length does not match");
     const std::uint32_t records = reader.u32();
-    Batch batch;
-    batch.now = Time{static_cast<Time::rep>(reader.u64())};
+    FrameContext context;
+    context.now = Time{static_cast<Time::rep>(reader.u64())};
     for (std::uint32_t i = 0; i < records; ++i) {
-        handleRecord(batch, reader);
+        handleRecord(context, reader);
     }
     reader.expectEnd();
-    const auto bytes = batch.reply.finish();
+    const auto bytes = context.reply.finish();
     return {bytes.begin(), bytes.end()};
 }
 
-void Dispatcher::handleRecord(Batch& batch, FrameReader& reader) {
+void Dispatcher::handleRecord(FrameContext& context, FrameReader& reader) {
     const std::uint8_t code = reader.u8();
     const std::size_t size = reader.u32();
-    FrameReader fields = reader.part(size);
+    FrameReader fields = reader.subReader(size);
     const bool known = code >= static_cast<std::uint8_t>(EventCode::PowerOn) &&
                        code <= static_cast<std::uint8_t>(EventCode::Context);
-    if (!known) fields.reject("unknown event code " + std::to_string(code));
-    dispatch(batch, static_cast<EventCode>(code), fields);
+    if (!known) fields.throwError("unknown event code " + std::to_string(code));
+    dispatch(context, static_cast<EventCode>(code), fields);
     fields.expectEnd();
 }
 
-void Dispatcher::dispatch(Batch& batch, EventCode code, FrameReader& fields) {
+void Dispatcher::dispatch(FrameContext& context, EventCode code, FrameReader& fields) {
     switch (code) {
         case EventCode::Context:
-            batch.node = fields.u16();
+            context.node = fields.u16();
             return;
         case EventCode::Census:
             return decodeEndpointList(fields, endpointLists_);
         case EventCode::PowerOn:
-            return startNode(batch, fields);
+            return startNode(context, fields);
         case EventCode::Stop:
-            return stopNode(batch, fields);
+            return stopNode(context, fields);
         case EventCode::FromPeer:
             return skipPeerMessage(fields);
         default: {
-            Node& node = runningNode(batch, fields);
-            return deliver(batch, node, decodeEvent(code, fields, endpointLists_, node.reportFields));
+            Node& node = runningNode(context, fields);
+            return deliver(context, node, decodeEvent(code, fields, endpointLists_, node.reportFields));
         }
     }
 }
 
-void Dispatcher::startNode(Batch& batch, FrameReader& fields) {
-    if (!batch.node) fields.reject("power_on for no node");
+void Dispatcher::startNode(FrameContext& context, FrameReader& fields) {
+    if (!context.node) fields.throwError("power_on for no node");
     NodeSettings settings = decodeNodeSettings(fields);
-    Node node{std::move(settings.reportFields), factory_(std::move(settings.settings))};
-    const auto [position, inserted] = nodes_.insert_or_assign(*batch.node, std::move(node));
-    deliver(batch, position->second, Started{});
+    Node node{std::move(settings.reportFields), makeEngine_(std::move(settings.settings))};
+    const auto [position, inserted] = nodes_.insert_or_assign(*context.node, std::move(node));
+    deliver(context, position->second, Started{});
 }
 
-void Dispatcher::stopNode(const Batch& batch, const FrameReader& fields) {
-    if (!batch.node) fields.reject("stop for no node");
-    nodes_.erase(*batch.node);
+void Dispatcher::stopNode(const FrameContext& context, const FrameReader& fields) {
+    if (!context.node) fields.throwError("stop for no node");
+    nodes_.erase(*context.node);
 }
 
-Dispatcher::Node& Dispatcher::runningNode(const Batch& batch, const FrameReader& fields) {
-    const auto found = batch.node ? nodes_.find(*batch.node) : nodes_.end();
-    if (found == nodes_.end()) fields.reject("event for a node that is not running");
+Dispatcher::Node& Dispatcher::runningNode(const FrameContext& context, const FrameReader& fields) {
+    const auto found = context.node ? nodes_.find(*context.node) : nodes_.end();
+    if (found == nodes_.end()) fields.throwError("event for a node that is not running");
     return found->second;
 }
 
 // An exception in the decision module ends the node, not the process.
-void Dispatcher::deliver(Batch& batch, Node& node, const Event& event) {
-    batch.actions.clear();
+void Dispatcher::deliver(FrameContext& context, Node& node, const Event& event) {
+    context.actions.clear();
     try {
-        node.engine->handle(batch.now, event, batch.actions);
+        node.engine->handle(context.now, event, context.actions);
     } catch (const std::exception& error) {
-        batch.reply.selectNode(*batch.node);
-        batch.reply.failure(error.what());
+        context.reply.selectNode(*context.node);
+        context.reply.writeFailure(error.what());
         return;
     }
-    if (batch.actions.empty()) return;
-    batch.reply.selectNode(*batch.node);
-    for (const Action& action : batch.actions) {
-        batch.reply.action(action);
+    if (context.actions.empty()) return;
+    context.reply.selectNode(*context.node);
+    for (const Action& action : context.actions) {
+        context.reply.writeAction(action);
     }
 }
 
@@ -96,7 +96,7 @@
     std::vector<std::uint8_t> frame;
     try {
         while (readFrame(in, frame)) {
-            const auto reply = dispatcher.answer(frame);
+            const auto reply = dispatcher.handleFrame(frame);
             out.write(reinterpret_cast<const char*>(reply.data()),
                       static_cast<std::streamsize>(reply.size()));
             out.flush();
--- a/src/simulator/dispatcher.hpp
+++ b/src/simulator/dispatcher.hpp
@@ -22,13 +22,13 @@
 
 class Dispatcher {
   public:
-    using Factory = std::function<std::unique_ptr<DecisionEngine>(Settings)>;
+    using EngineFactory = std::function<std::unique_ptr<DecisionEngine>(Settings)>;
 
-    explicit Dispatcher(Factory factory = makeDecisionEngine) : factory_(std::move(factory)) {}
+    explicit Dispatcher(EngineFactory makeEngine = makeDecisionEngine) : makeEngine_(std::move(makeEngine)) {}
 
     // Handles all records of one whole frame and returns the bytes of the reply. Throws WireError, or
     // SettingsError for the settings of a node.
-    std::vector<std::uint8_t> answer(std::span<const std::uint8_t> frame);
+    std::vector<std::uint8_t> handleFrame(std::span<const std::uint8_t> frame);
 
   private:
     using NodeId = std::uint16_t;
@@ -39,21 +39,21 @@
     };
 
     // What holds for the records of one frame.
-    struct Batch {
+    struct FrameContext {
         Time now{0};
         std::optional<NodeId> node;  // to which the next records belong
         ReplyWriter reply;
         std::vector<Action> actions;  // of the last event
     };
 
-    void handleRecord(Batch& batch, FrameReader& reader);
-    void dispatch(Batch& batch, EventCode code, FrameReader& fields);
-    void startNode(Batch& batch, FrameReader& fields);
-    void stopNode(const Batch& batch, const FrameReader& fields);
-    Node& runningNode(const Batch& batch, const FrameReader& fields);
-    static void deliver(Batch& batch, Node& node, const Event& event);
+    void handleRecord(FrameContext& context, FrameReader& reader);
+    void dispatch(FrameContext& context, EventCode code, FrameReader& fields);
+    void startNode(FrameContext& context, FrameReader& fields);
+    void stopNode(const FrameContext& context, const FrameReader& fields);
+    Node& runningNode(const FrameContext& context, const FrameReader& fields);
+    static void deliver(FrameContext& context, Node& node, const Event& event);
 
-    Factory factory_;
+    EngineFactory makeEngine_;
     std::map<NodeId, Node> nodes_;
     EndpointLists endpointLists_;
 };
--- a/src/simulator/event_decoder.cpp
+++ b/src/simulator/event_decoder.cpp
@@ -20,7 +20,7 @@
 Outcome decodeOutcome(FrameReader& fields) {
     const std::uint8_t code = fields.u8();
     if (code > static_cast<std::uint8_t>(Outcome::NotSent))
-        fields.reject("unknown outcome " + std::to_string(code));
+        fields.throwError("unknown outcome " + std::to_string(code));
     return static_cast<Outcome>(code);  // the wire's 0 to 7 in the order of the enumeration
 }
 
@@ -34,7 +34,7 @@
         case 3:
             return Availability::Ready;
         default:
-            fields.reject("unknown availability " + std::to_string(code));
+            fields.throwError("unknown availability " + std::to_string(code));
     }
 }
 
@@ -48,7 +48,8 @@
 
 std::uint16_t decodeListNumber(FrameReader& fields) {
     const std::uint16_t number = fields.u16();
-    if (number >= kMaxEndpointLists) fields.reject("list number " + std::to_string(number) + " out of range");
+    if (number >= kMaxEndpointLists)
+        fields.throwError("list number " + std::to_string(number) + " out of range");
     return number;
 }
 
@@ -67,7 +68,7 @@
 EndpointListChanged decodeListChange(FrameReader& fields, const EndpointLists& lists) {
     const std::uint8_t kind = fields.u8();
     if (kind > static_cast<std::uint8_t>(EndpointListKind::Failed))
-        fields.reject("unknown list mode " + std::to_string(kind));
+        fields.throwError("unknown list mode " + std::to_string(kind));
     fields.u64();  // the version: lists come in order and without gaps
     EndpointListChanged event;
     event.kind = static_cast<EndpointListKind>(kind);  // the wire's 0 to 3 in the order of the enumeration
@@ -135,7 +136,7 @@
         case kDelayMeasurement:
             return MessageDelayMeasured{request, endpoint, value};
         default:
-            fields.reject("unknown topic " + std::to_string(subject));
+            fields.throwError("unknown topic " + std::to_string(subject));
     }
 }
 
@@ -144,7 +145,7 @@
     const std::size_t count = fields.u8();
     if (count == 0) return std::nullopt;
     if (count > reportFields.size())
-        fields.reject("report of " + std::to_string(count) + " values, fewer are named");
+        fields.throwError("report of " + std::to_string(count) + " values, fewer are named");
     LoadReport report;
     for (std::size_t i = 0; i < count; ++i) {
         setReportedValue(report, reportFields[i], static_cast<double>(fields.f32()));
@@ -187,7 +188,7 @@
     const std::uint16_t number = decodeListNumber(fields);
     const std::size_t count = fields.u32();
     if (count > fields.remaining() / kEndpointEntryBytes)
-        fields.reject("list of " + std::to_string(count) + " overruns");
+        fields.throwError("list of " + std::to_string(count) + " overruns");
     std::vector<EndpointEntry> endpoints;
     endpoints.reserve(count);
     for (std::size_t i = 0; i < count; ++i) {
@@ -223,7 +224,8 @@
         case EventCode::Progress:
             return decodeMeasurement(fields);
         default:
-            fields.reject("no event of a running node: code " + std::to_string(static_cast<unsigned>(code)));
+            fields.throwError("no event of a running node: code " +
+                              std::to_string(static_cast<unsigned>(code)));
     }
 }
 
--- a/src/simulator/frame_reader.cpp
+++ b/src/simulator/frame_reader.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::uint64_t FrameReader::number(std::size_t width) {
+std::uint64_t FrameReader::readInteger(std::size_t width) {
     const auto raw = bytes(width);
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < width; ++i) {
@@ -44,28 +44,28 @@
 
 // Address bytes first, then the port: kept in wire order, so that writing them back is exact.
 EndpointId FrameReader::endpoint() {
-    return EndpointId{number(kEndpointBytes)};
+    return EndpointId{readInteger(kEndpointBytes)};
 }
 
 std::span<const std::uint8_t> FrameReader::bytes(std::size_t count) {
     if (count > remaining()) {
-        reject("needs " + std::to_string(count) + " bytes, has " + std::to_string(remaining()));
+        throwError("needs " + std::to_string(count) + " bytes, has " + std::to_string(remaining()));
     }
     const auto result = bytes_.subspan(position_, count);
     position_ += count;
     return result;
 }
 
-FrameReader FrameReader::part(std::size_t count) {
+FrameReader FrameReader::subReader(std::size_t count) {
     const std::size_t start = offset();
     return FrameReader{bytes(count), start};
 }
 
 void FrameReader::expectEnd() const {
-    if (remaining() != 0) reject(std::to_string(remaining()) + " bytes too many");
+    if (remaining() != 0) throwError(std::to_string(remaining()) + " bytes too many");
 }
 
-void FrameReader::reject(const std::string& message) const {
+void FrameReader::throwError(const std::string& message) const {
     throw WireError("malformed input at offset " + std::to_string(offset()) + ": " + message);
 }
 
--- a/src/simulator/frame_reader.hpp
+++ b/src/simulator/frame_reader.hpp
@@ -23,31 +23,32 @@
 // before the field.
 class FrameReader {
   public:
-    // `base` is the offset of the part in its frame, for error messages.
-    FrameReader(std::span<const std::uint8_t> bytes, std::size_t base) : bytes_(bytes), base_(base) {}
-
-    std::uint8_t u8() { return static_cast<std::uint8_t>(number(1)); }
-    std::uint16_t u16() { return static_cast<std::uint16_t>(number(2)); }
-    std::uint32_t u32() { return static_cast<std::uint32_t>(number(4)); }
-    std::uint64_t u64() { return number(8); }
+    // `offsetInFrame` is the offset of the part in its frame, for error messages.
+    FrameReader(std::span<const std::uint8_t> bytes, std::size_t offsetInFrame)
+        : bytes_(bytes), offsetInFrame_(offsetInFrame) {}
+
+    std::uint8_t u8() { return static_cast<std::uint8_t>(readInteger(1)); }
+    std::uint16_t u16() { return static_cast<std::uint16_t>(readInteger(2)); }
+    std::uint32_t u32() { return static_cast<std::uint32_t>(readInteger(4)); }
+    std::uint64_t u64() { return readInteger(8); }
     float f32();
     EndpointId endpoint();
     std::span<const std::uint8_t> bytes(std::size_t count);
     // A reader of the next bytes, which this one skips.
-    FrameReader part(std::size_t count);
+    FrameReader subReader(std::size_t count);
 
     std::size_t remaining() const { return bytes_.size() - position_; }
     // Throws WireError if anything remains.
     void expectEnd() const;
     // Throws WireError with this message and the present offset.
-    [[noreturn]] void reject(const std::string& message) const;
+    [[noreturn]] void throwError(const std::string& message) const;
 
   private:
-    std::uint64_t number(std::size_t width);
-    std::size_t offset() const { return base_ + position_; }
+    std::uint64_t readInteger(std::size_t width);
+    std::size_t offset() const { return offsetInFrame_ + position_; }
 
     std::span<const std::uint8_t> bytes_;
-    std::size_t base_;
+    std::size_t offsetInFrame_;
     std::size_t position_ = 0;
 };
 
--- a/src/simulator/reply_writer.hpp
+++ b/src/simulator/reply_writer.hpp
@@ -20,20 +20,20 @@
 
     // Selects the node of the records that follow.
     void selectNode(std::uint16_t node);
-    void action(const Action& action);
+    void writeAction(const Action& action);
     // The selected node has failed.
-    void failure(std::string_view message);
+    void writeFailure(std::string_view message);
     // Fills in the header. The bytes are valid as long as this object lives.
     std::span<const std::uint8_t> finish();
 
   private:
-    void record(ActionCode code, std::size_t fieldBytes);
-    void requestRecord(ActionCode code, RequestId request, std::size_t furtherBytes);
-    void textRecord(ActionCode code, std::string_view text);
-    void number(std::uint64_t value, std::size_t width);
-    void endpoint(EndpointId id);
-    void duration(Micros value);
-    void headerField(std::size_t position, std::uint64_t value);
+    void beginRecord(ActionCode code, std::size_t fieldBytes);
+    void beginRequestRecord(ActionCode code, RequestId request, std::size_t furtherBytes);
+    void writeTextRecord(ActionCode code, std::string_view text);
+    void writeInteger(std::uint64_t value, std::size_t width);
+    void writeEndpoint(EndpointId id);
+    void writeDuration(Micros value);
+    void writeHeaderField(std::size_t position, std::uint64_t value);
 
     void encode(const StartAttempt& action);
     void encode(const RejectRequest& action);
--- a/tests/discovery_load.hpp
+++ b/tests/discovery_load.hpp
@@ -30,7 +30,7 @@
 constexpr std::uint64_t kSeed = 20'240'501;
 
 constexpr Micros kQueuedServiceTime = 3s;
-constexpr Micros kWaitingLimit = 3s;
+constexpr Micros kMaxQueueTime = 3s;
 constexpr double kRejectionCost = 1.0 / 15.0;
 
 inline double inSeconds(Micros time) {
@@ -40,10 +40,10 @@
 // Discovery's capacity grows with the fleet: serving one call of each follower takes the same time.
 struct FleetLoad {
     std::size_t followers = 0;
-    Micros serviceOfAll{0};
+    Micros timeToServeAll{0};
 
     friend void PrintTo(const FleetLoad& load, std::ostream* out) {
-        *out << load.followers << " followers, served in " << load.serviceOfAll / 1s << " s";
+        *out << load.followers << " followers, served in " << load.timeToServeAll / 1s << " s";
     }
 };
 
@@ -63,9 +63,9 @@
 
 inline DiscoveryLimits limitsFor(const FleetLoad& load) {
     const double rate =
-        static_cast<double>(load.followers) / std::chrono::duration<double>(load.serviceOfAll).count();
+        static_cast<double>(load.followers) / std::chrono::duration<double>(load.timeToServeAll).count();
     const double queue = rate * std::chrono::duration<double>(kQueuedServiceTime).count();
-    return {rate, kRejectionCost, static_cast<std::size_t>(queue), kWaitingLimit};
+    return {rate, kRejectionCost, static_cast<std::size_t>(queue), kMaxQueueTime};
 }
 
 // A fleet that watches the list of one discovery, and runs a test's script.
@@ -90,7 +90,7 @@
     const LogCapture& log() const { return log_; }
     Follower& firstFollower() { return *fleet_.followers().front(); }
     Time now() const { return scheduler_.now(); }
-    Micros serviceOfAll() const { return load_.serviceOfAll; }
+    Micros timeToServeAll() const { return load_.timeToServeAll; }
 
     // True if the script has run to its end.
     bool run(const std::function<Task<void>(DiscoveryLoad&)>& script) {
@@ -127,21 +127,21 @@
         discovery_.resetCounts();
     }
 
-    Task<void> waitUntilAllHave(std::uint64_t version, Micros limit = kObservationTime) {
-        co_await waitUntil([this, version] { return fleet_.allHadItAt(version).has_value(); }, limit);
+    Task<void> waitUntilAllReceived(std::uint64_t version, Micros limit = kObservationTime) {
+        co_await waitUntil([this, version] { return fleet_.timeAllReceived(version).has_value(); }, limit);
     }
 
     // All followers got the version in time, with a number of calls that does not overload discovery.
-    void expectAllHaveList(const OverloadedDiscovery& source, std::uint64_t version, Time since,
+    void expectAllReceived(const OverloadedDiscovery& source, std::uint64_t version, Time since,
                            Micros bound) const {
         const std::size_t size = fleet_.followers().size();
         const std::size_t received = receivedSince(source, since);
         const double maxCalls =
-            kMaxCallsPerSecondOfService * inSeconds(load_.serviceOfAll) * static_cast<double>(size);
+            kMaxCallsPerSecondOfService * inSeconds(load_.timeToServeAll) * static_cast<double>(size);
         const double maxPerSecond = kMaxCallsPerFollowerAndSecond * static_cast<double>(size);
         printCounts(source, version, since);
-        EXPECT_EQ(fleet_.countWith(version), size);
-        const auto last = fleet_.allHadItAt(version);
+        EXPECT_EQ(fleet_.countHavingReceived(version), size);
+        const auto last = fleet_.timeAllReceived(version);
         EXPECT_TRUE(last && *last - since <= bound)
             << "the bound is " << inSeconds(bound) << " s; the last had it after "
             << (last ? std::to_string(inSeconds(*last - since)) + " s" : "more than was observed");
@@ -183,13 +183,13 @@
 
     void printCounts(const OverloadedDiscovery& source, std::uint64_t version, Time since) const {
         const DiscoveryCounts& counts = source.counts();
-        const auto last = fleet_.allHadItAt(version);
+        const auto last = fleet_.timeAllReceived(version);
         std::cout << "[ FIGURES  ] received " << receivedSince(source, since) << ", busiest second "
                   << callsInBusiestSecond(source, since) << " at a rate of " << limits_.callsPerSecond
                   << ", rejected " << counts.rejected << ", expired " << counts.expired << ", abandoned "
                   << counts.abandoned << ", answered late " << counts.respondedLate << ", unanswered "
-                  << counts.unanswered << ", version known to " << fleet_.countWith(version) << " of "
-                  << fleet_.followers().size() << ", last after "
+                  << counts.unanswered << ", version known to " << fleet_.countHavingReceived(version)
+                  << " of " << fleet_.followers().size() << ", last after "
                   << (last ? std::to_string(inSeconds(*last - since)) : "-") << " s, longest gap "
                   << inSeconds(fleet_.longestGap()) << " s\n";
     }
--- a/tests/discovery_load_test.cpp
+++ b/tests/discovery_load_test.cpp
@@ -17,9 +17,9 @@
 
 // Discovery serves one call of each follower in N/rate. A queued call then waits for the waiting limit of 3 s
 // at most, and 2 s are left for backoff: 4 s + 3 s + 2 s = 9 s, or 13 s where N/rate is 8 s.
-constexpr Micros kBackoffs = 2s;
+constexpr Micros kBackoffAllowance = 2s;
 Micros listDeadline(const DiscoveryLoad& load) {
-    return load.serviceOfAll() + kWaitingLimit + kBackoffs;
+    return load.timeToServeAll() + kMaxQueueTime + kBackoffAllowance;
 }
 
 constexpr Micros kResponseDelay = 1s;
@@ -27,7 +27,7 @@
 // after the longest queue time, N/rate + the waiting limit; with 6 s in place of the backoff: 13 s, or 17 s.
 constexpr Micros kPropagationDeadline = 6s;
 Micros listDeadlineWithUnansweredCalls(const DiscoveryLoad& load) {
-    return load.serviceOfAll() + kWaitingLimit + kPropagationDeadline;
+    return load.timeToServeAll() + kMaxQueueTime + kPropagationDeadline;
 }
 
 // The heartbeat interval of 2 s and some slack.
@@ -37,7 +37,7 @@
 
 std::string loadName(const testing::TestParamInfo<FleetLoad>& info) {
     return std::to_string(info.param.followers) + "FollowersServedIn" +
-           std::to_string(info.param.serviceOfAll / 1s) + "Seconds";
+           std::to_string(info.param.timeToServeAll / 1s) + "Seconds";
 }
 
 // Where discovery needs 8 s for all calls, the queue cannot hold the calls of all followers.
@@ -48,11 +48,11 @@
 
 // All watches are disconnected at the time of a change, which all followers have to get within the bound.
 Task<void> runDisconnectedWatches(DiscoveryLoad& load, Micros bound) {
-    const Time broken = load.now();
+    const Time disconnectedAt = load.now();
     load.discovery().disconnectWatches();
     const std::uint64_t version = load.discovery().writeEntry("server-1", "leaving");
-    co_await load.waitUntilAllHave(version);
-    load.expectAllHaveList(load.discovery(), version, broken, bound);
+    co_await load.waitUntilAllReceived(version);
+    load.expectAllReceived(load.discovery(), version, disconnectedAt, bound);
 }
 
 TEST_P(DiscoveryLoadTest, AllWatchesBreakAtOnce) {
@@ -82,9 +82,9 @@
     co_await load.sleep(4s);
     load.discovery().resetCounts();
     load.discovery().setOutage(Outage::None);
-    const Time back = load.now();
-    co_await load.waitUntilAllHave(version);
-    load.expectAllHaveList(load.discovery(), version, back, listDeadline(load));
+    const Time recoveredAt = load.now();
+    co_await load.waitUntilAllReceived(version);
+    load.expectAllReceived(load.discovery(), version, recoveredAt, listDeadline(load));
 }
 
 TEST_P(DiscoveryLoadTest, OutageWithStatus503) {
@@ -121,14 +121,14 @@
         DiscoveryFaults faults;
         faults.heartbeatsStopped = true;
         l.discovery().setFaults(faults);
-        const Time silent = l.now();
+        const Time silentSince = l.now();
         const std::uint64_t version = l.discovery().writeEntry("server-1", "leaving");
         co_await l.waitUntil([&l] { return l.discovery().counts().received > 0; });
-        EXPECT_LE(l.now() - silent, kHeartbeatTimeoutDetection);
+        EXPECT_LE(l.now() - silentSince, kHeartbeatTimeoutDetection);
         const Time firstCall = l.discovery().counts().receivedAt.at(0);
         l.discovery().setFaults({});
-        co_await l.waitUntilAllHave(version);
-        l.expectAllHaveList(l.discovery(), version, firstCall, listDeadline(l));
+        co_await l.waitUntilAllReceived(version);
+        l.expectAllReceived(l.discovery(), version, firstCall, listDeadline(l));
     }));
 }
 
@@ -138,7 +138,7 @@
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
         const std::uint64_t updatesBefore = l.firstFollower().metrics().listChanges;
-        const Time broken = l.now();
+        const Time disconnectedAt = l.now();
         l.discovery().disconnectWatches();
         co_await l.sleep(1s);
         std::vector<Follower*> waiting;
@@ -147,8 +147,8 @@
         }
         EXPECT_FALSE(waiting.empty());
         const std::uint64_t version = l.discovery().writeEntry("server-1", "leaving");
-        co_await l.waitUntilAllHave(version);
-        l.expectAllHaveList(l.discovery(), version, broken, listDeadline(l));
+        co_await l.waitUntilAllReceived(version);
+        l.expectAllReceived(l.discovery(), version, disconnectedAt, listDeadline(l));
         const auto informedByFirstMessage =
             std::count_if(waiting.begin(), waiting.end(), [version, updatesBefore](const Follower* follower) {
                 const auto reception = follower->receptionOf(version);
@@ -167,10 +167,10 @@
         other.writeEntry("server-1", "active");
         other.writeEntry("server-2", "active");
         const std::uint64_t version = other.writeEntry("server-1", "leaving");
-        const Time moved = l.now();
+        const Time movedAt = l.now();
         l.fleet().moveTo(other.address());
-        co_await l.waitUntilAllHave(version);
-        l.expectAllHaveList(other, version, moved, listDeadline(l));
+        co_await l.waitUntilAllReceived(version);
+        l.expectAllReceived(other, version, movedAt, listDeadline(l));
     }));
 }
 
@@ -181,7 +181,7 @@
 constexpr Micros kReopenDeadline = 20ms;
 constexpr Micros kStableWatchAge = 1200ms;  // long enough to be reopened at once when disconnected
 
-Task<void> startPushed(DiscoveryLoad& load) {
+Task<void> startWithPushedList(DiscoveryLoad& load) {
     load.firstFollower().watcher().setPushGrace(kPushGrace);
     load.discovery().writeEntry("server-1", "active");
     load.fleet().start();
@@ -193,13 +193,13 @@
 TEST(PushedListTest, DisconnectedWatchIsReopenedAtOnce) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
-        co_await startPushed(l);
-        const Time broken = l.now();
+        co_await startWithPushedList(l);
+        const Time disconnectedAt = l.now();
         l.discovery().disconnectWatches();
         const std::uint64_t version = l.discovery().writeEntry("server-1", "leaving");
-        co_await l.waitUntilAllHave(version);
-        const auto known = l.fleet().allHadItAt(version);
-        EXPECT_TRUE(known && *known - broken <= kReopenDeadline);
+        co_await l.waitUntilAllReceived(version);
+        const auto receivedAt = l.fleet().timeAllReceived(version);
+        EXPECT_TRUE(receivedAt && *receivedAt - disconnectedAt <= kReopenDeadline);
         EXPECT_EQ(l.discovery().counts().received, 1U);
     }));
 }
@@ -208,16 +208,16 @@
 TEST(PushedListTest, RefusedConnectionIsRetriedWithinHalfTheGrace) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
-        co_await startPushed(l);
+        co_await startWithPushedList(l);
         for (const Micros outage : {Micros{30ms}, Micros{510ms}, Micros{3s}, Micros{20s}}) {
             l.discovery().setOutage(Outage::Refused);
             const std::uint64_t version = l.discovery().writeEntry("server-1", "leaving");
             co_await l.sleep(outage);
             l.discovery().setOutage(Outage::None);
-            const Time back = l.now();
-            co_await l.waitUntilAllHave(version);
-            const auto known = l.fleet().allHadItAt(version);
-            EXPECT_TRUE(known && *known - back <= kPushGrace / 2 + kPollInterval)
+            const Time recoveredAt = l.now();
+            co_await l.waitUntilAllReceived(version);
+            const auto receivedAt = l.fleet().timeAllReceived(version);
+            EXPECT_TRUE(receivedAt && *receivedAt - recoveredAt <= kPushGrace / 2 + kPollInterval)
                 << "after an outage of " << inSeconds(outage) << " s";
             co_await l.sleep(kStableWatchAge);
         }
@@ -252,7 +252,7 @@
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         DiscoveryFaults slow;
-        slow.responseDelay = kWaitingLimit;
+        slow.responseDelay = kMaxQueueTime;
         l.discovery().setFaults(slow);
         l.discovery().writeEntry("server-1", "active");
         l.fleet().start();
@@ -275,7 +275,7 @@
             << "the response time is not known yet";
         co_await l.sleep(kStableWatchAge);
         l.discovery().disconnectWatches();
-        co_await l.waitUntilAllHave(l.discovery().writeEntry("server-1", "leaving"));
+        co_await l.waitUntilAllReceived(l.discovery().writeEntry("server-1", "leaving"));
         EXPECT_TRUE(l.fleet().allLive());
         EXPECT_EQ(l.firstFollower().metrics().listAdditionalCalls, 1U);
     }));
@@ -284,13 +284,13 @@
 // ---- invalid responses ----
 
 constexpr Micros kQuietPeriod = 15s;
-constexpr Micros kUselessDelay = 10s;  // beyond any timeout
+constexpr Micros kDelayBeyondTimeouts = 10s;
 
 // One call fails: one line in the log contains this text, and the next call gets the list.
 void expectOneLogLineAndList(DiscoveryLoad& load, Time since, std::uint64_t version,
                              const std::string& text) {
-    const auto known = load.fleet().allHadItAt(version);
-    EXPECT_TRUE(known && *known - since <= kPropagationDeadline);
+    const auto receivedAt = load.fleet().timeAllReceived(version);
+    EXPECT_TRUE(receivedAt && *receivedAt - since <= kPropagationDeadline);
     const std::vector<std::string> lines = load.log().lines();
     EXPECT_EQ(lines.size(), 1U);
     for (const std::string& line : lines) {
@@ -303,7 +303,7 @@
     load.discovery().setNextResponse(std::move(response));
     const Time start = load.now();
     load.fleet().start();
-    co_await load.waitUntilAllHave(load.discovery().version());
+    co_await load.waitUntilAllReceived(load.discovery().version());
     co_await load.sleep(kQuietPeriod);
     expectOneLogLineAndList(load, start, load.discovery().version(), text);
 }
@@ -335,14 +335,14 @@
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         l.discovery().writeEntry("server-1", "active");
         DiscoveryFaults slow;
-        slow.responseDelay = kUselessDelay;
+        slow.responseDelay = kDelayBeyondTimeouts;
         l.discovery().setFaults(slow);
         const Time start = l.now();
         l.fleet().start();
         co_await l.waitUntil([&l] { return l.discovery().counts().received > 0; });
         co_await l.sleep(1s);
         l.discovery().setFaults({});
-        co_await l.waitUntilAllHave(l.discovery().version());
+        co_await l.waitUntilAllReceived(l.discovery().version());
         co_await l.sleep(kQuietPeriod);
         expectOneLogLineAndList(l, start, l.discovery().version(), "discovery");
         EXPECT_EQ(l.discovery().counts().respondedLate, 1U);
--- a/tests/drain_evidence_test.cpp
+++ b/tests/drain_evidence_test.cpp
@@ -40,15 +40,15 @@
 
     void setFreshness(ListFreshness::State state) { handle(ListFreshnessChanged{{state, now}}); }
 
-    void sendMove(EndpointId endpoint) { handle(ServerSentMove{endpoint}); }
+    void sendMove(EndpointId endpoint) { handle(EndpointSentMove{endpoint}); }
 
     void reportLoad(EndpointId endpoint, double share) {
-        handle(ServerReportedLoad{endpoint, utilisation(share)});
+        handle(EndpointReportedLoad{endpoint, utilisation(share)});
     }
 
     void reject(EndpointId endpoint, const std::optional<LoadReport>& load = std::nullopt,
                 Micros elapsed = 1ms) {
-        handle(ServerRefusedConnection{endpoint, load, elapsed, 300ms});
+        handle(EndpointRejectedConnection{endpoint, load, elapsed, 300ms});
     }
 
     void updateList(EndpointId endpoint, Availability availability, Time started = 50s) {
@@ -68,12 +68,12 @@
 
 TEST(DrainEvidence, OneMoveWithholdsWhileListIsStale) {
     Fixture f;
-    const WithholdingChange change = f.handle(ServerSentMove{kEndpoint});
+    const WithholdingChange change = f.handle(EndpointSentMove{kEndpoint});
     EXPECT_EQ(change.withheld, std::vector{kEndpoint});
     EXPECT_TRUE(change.released.empty());
     EXPECT_TRUE(f.evidence.withholds(kEndpoint));
     EXPECT_FALSE(f.evidence.withholds(kOther));
-    EXPECT_TRUE(f.handle(ServerSentMove{kEndpoint}).empty()) << "it is withheld already";
+    EXPECT_TRUE(f.handle(EndpointSentMove{kEndpoint}).empty()) << "it is withheld already";
 }
 
 TEST(DrainEvidence, OneMoveWithholdsWhileListIsCatchingUp) {
@@ -96,7 +96,7 @@
     DrainEvidence evidence;
     evidence.handle(1s, ListEntriesReceived{
                             true, {{kEndpoint, Availability::Ready, 0s}, {kOther, Availability::Ready, 0s}}});
-    EXPECT_TRUE(evidence.handle(2s, ServerSentMove{kEndpoint}).empty());
+    EXPECT_TRUE(evidence.handle(2s, EndpointSentMove{kEndpoint}).empty());
 }
 
 TEST(DrainEvidence, MoveOfUnlistedEndpointIsIgnored) {
@@ -137,7 +137,7 @@
     Fixture f;
     f.reportLoad(kEndpoint, 0.3);
     for (int i = 0; i < 5; ++i) {
-        f.reject(kEndpoint, utilisation(kClearlyBelowFull + 0.01));
+        f.reject(kEndpoint, utilisation(kFullUtilisationThreshold + 0.01));
     }
     EXPECT_FALSE(f.evidence.withholds(kEndpoint));
 }
@@ -190,7 +190,7 @@
     Fixture f;
     f.reportLoad(kEndpoint, 0.3);
     f.reject(kEndpoint);
-    f.handle(ServerAcceptedConnection{kEndpoint, f.now + 1ms});
+    f.handle(EndpointAcceptedConnection{kEndpoint, f.now + 1ms});
     f.reject(kEndpoint);
     EXPECT_FALSE(f.evidence.withholds(kEndpoint));
     f.reject(kEndpoint);
@@ -205,12 +205,12 @@
     f.now += 1s;
     f.sendMove(kEndpoint);
     f.now += 1s;
-    EXPECT_TRUE(f.handle(ServerAcceptedConnection{kEndpoint, before}).empty())
+    EXPECT_TRUE(f.handle(EndpointAcceptedConnection{kEndpoint, before}).empty())
         << "it was sent before the drain";
     EXPECT_TRUE(f.evidence.withholds(kEndpoint));
-    f.handle(ServerAcceptedConnection{kOther, f.now});
+    f.handle(EndpointAcceptedConnection{kOther, f.now});
     EXPECT_TRUE(f.evidence.withholds(kEndpoint)) << "the UP of another endpoint does not count";
-    const WithholdingChange change = f.handle(ServerAcceptedConnection{kEndpoint, f.now});
+    const WithholdingChange change = f.handle(EndpointAcceptedConnection{kEndpoint, f.now});
     EXPECT_EQ(change.released, std::vector{kEndpoint});
     EXPECT_FALSE(f.evidence.withholds(kEndpoint));
 }
@@ -302,7 +302,7 @@
     f.reject(kEndpoint, utilisation(0.3));
     ASSERT_TRUE(f.evidence.withholds(kEndpoint));
     f.now += 1s;
-    const WithholdingChange change = f.handle(ServerSentMove{kOther});
+    const WithholdingChange change = f.handle(EndpointSentMove{kOther});
     EXPECT_EQ(change.withheld, std::vector{kOther});
     EXPECT_EQ(change.released, std::vector{kEndpoint});
 }
--- a/tests/follower_fleet.cpp
+++ b/tests/follower_fleet.cpp
@@ -84,13 +84,13 @@
                        [](const auto& follower) { return follower->watcher().live(); });
 }
 
-std::size_t FollowerFleet::countWith(std::uint64_t version) const {
+std::size_t FollowerFleet::countHavingReceived(std::uint64_t version) const {
     return static_cast<std::size_t>(std::count_if(
         followers_.begin(), followers_.end(),
         [version](const auto& follower) { return follower->receptionOf(version).has_value(); }));
 }
 
-std::optional<Time> FollowerFleet::allHadItAt(std::uint64_t version) const {
+std::optional<Time> FollowerFleet::timeAllReceived(std::uint64_t version) const {
     Time last{0};
     for (const auto& follower : followers_) {
         const auto reception = follower->receptionOf(version);
--- a/tests/follower_fleet.hpp
+++ b/tests/follower_fleet.hpp
@@ -61,9 +61,9 @@
     void moveTo(const Address& discovery);
     const std::vector<std::unique_ptr<Follower>>& followers() const { return followers_; }
     bool allLive() const;
-    std::size_t countWith(std::uint64_t version) const;
+    std::size_t countHavingReceived(std::uint64_t version) const;
     // When the last follower got the version; none: not all have it.
-    std::optional<Time> allHadItAt(std::uint64_t version) const;
+    std::optional<Time> timeAllReceived(std::uint64_t version) const;
     Micros longestGap() const;
 
   private:
--- a/tests/frames.hpp
+++ b/tests/frames.hpp
@@ -23,7 +23,7 @@
 }
 
 // Appends a little-endian number.
-inline void put(Bytes& bytes, std::uint64_t value, std::size_t width) {
+inline void appendInteger(Bytes& bytes, std::uint64_t value, std::size_t width) {
     for (std::size_t i = 0; i < width; ++i) {
         bytes.push_back(static_cast<std::uint8_t>(value >> (8 * i)));
     }
@@ -36,34 +36,34 @@
 
 inline Bytes record(std::uint8_t code, const Bytes& fields) {
     Bytes bytes{code};
-    put(bytes, fields.size(), 4);
+    appendInteger(bytes, fields.size(), 4);
     return bytes + fields;
 }
 
 // Selects the node of the records that follow.
 inline Bytes selectNode(std::uint16_t node) {
     Bytes fields;
-    put(fields, node, 2);
+    appendInteger(fields, node, 2);
     return record(14, fields);
 }
 
 // Starts the selected node.
 inline Bytes startNode(const std::string& settings, std::uint64_t seed = 7) {
     Bytes fields;
-    put(fields, seed, 8);
-    put(fields, settings.size(), 4);
+    appendInteger(fields, seed, 8);
+    appendInteger(fields, settings.size(), 4);
     return record(1, fields + Bytes(settings.begin(), settings.end()));
 }
 
 inline Bytes frame(std::uint64_t now, const std::vector<Bytes>& records) {
     Bytes body;
-    put(body, records.size(), 4);
-    put(body, now, 8);
+    appendInteger(body, records.size(), 4);
+    appendInteger(body, now, 8);
     for (const Bytes& bytes : records) {
         body.insert(body.end(), bytes.begin(), bytes.end());
     }
     Bytes result;
-    put(result, body.size(), 4);
+    appendInteger(result, body.size(), 4);
     return result + body;
 }
 
--- a/tests/overloaded_discovery.cpp
+++ b/tests/overloaded_discovery.cpp
@@ -142,8 +142,8 @@
 Task<void> OverloadedDiscovery::serveQueue() {
     Signal pause{scheduler_};
     for (;;) {
-        if (unpaidRejections_ > 0.0) {
-            const Micros cost = serviceTime(std::exchange(unpaidRejections_, 0.0));
+        if (unchargedRejectionCost_ > 0.0) {
+            const Micros cost = serviceTime(std::exchange(unchargedRejectionCost_, 0.0));
             co_await pause.wait(scheduler_.now() + cost);
             continue;
         }
@@ -178,7 +178,7 @@
         ++counts_.received;
         counts_.receivedAt.push_back(scheduler_.now());
         admitOrReject(call);
-        co_await waitForTurn(call);
+        co_await waitUntilServed(call);
         co_await respond(*call);
         co_await waitForDisconnect(*call);
     }
@@ -197,26 +197,26 @@
 
 // During an outage a proxy responds with 503, at no cost to the worker.
 void OverloadedDiscovery::admitOrReject(const CallPointer& call) {
-    if (outage_ == Outage::None && queue_.size() < limits_.queueBound) {
+    if (outage_ == Outage::None && queue_.size() < limits_.queueCapacity) {
         call->state = CallState::Queued;
         queue_.push_back(call);
         queueChanged_.raise();
         return;
     }
     ++counts_.rejected;
-    if (outage_ == Outage::None) chargeRejection();
+    if (outage_ == Outage::None) addRejectionCost();
     call->state = CallState::Ended;
     sendText(call->connection, kUnavailable);
 }
 
-void OverloadedDiscovery::chargeRejection() {
-    unpaidRejections_ += limits_.rejectionCost;
+void OverloadedDiscovery::addRejectionCost() {
+    unchargedRejectionCost_ += limits_.rejectionCost;
     queueChanged_.raise();
 }
 
 // A call that the client has closed keeps its place in the queue, and is served all the same.
-Task<void> OverloadedDiscovery::waitForTurn(CallPointer call) {
-    const Time expiresAt = scheduler_.now() + limits_.waitingLimit;
+Task<void> OverloadedDiscovery::waitUntilServed(CallPointer call) {
+    const Time expiresAt = scheduler_.now() + limits_.maxQueueTime;
     while (call->state == CallState::Queued || call->state == CallState::InService) {
         if (call->connection.over()) {
             if (call->state == CallState::Queued) ++counts_.abandoned;
@@ -237,7 +237,7 @@
 void OverloadedDiscovery::expire(const CallPointer& call) {
     std::erase(queue_, call);
     ++counts_.expired;
-    chargeRejection();
+    addRejectionCost();
     call->state = CallState::Ended;
     sendText(call->connection, kUnavailable);
 }
--- a/tests/overloaded_discovery.hpp
+++ b/tests/overloaded_discovery.hpp
@@ -22,10 +22,10 @@
 namespace ivyreel {
 
 struct DiscoveryLimits {
-    double callsPerSecond = 0.0;  // served by the worker
-    double rejectionCost = 0.0;   // of a rejection, relative to a served call
-    std::size_t queueBound = 0;   // queued calls
-    Micros waitingLimit{0};       // a call that is queued longer is answered with 503
+    double callsPerSecond = 0.0;    // served by the worker
+    double rejectionCost = 0.0;     // of a rejection, relative to a served call
+    std::size_t queueCapacity = 0;  // queued calls
+    Micros maxQueueTime{0};         // a call that is queued longer is answered with 503
 };
 
 struct DiscoveryFaults {
@@ -91,14 +91,14 @@
     Task<void> sendHeartbeats();
     Task<void> serve(CallPointer call);
     Task<void> readRequest(Call& call);
-    Task<void> waitForTurn(CallPointer call);
+    Task<void> waitUntilServed(CallPointer call);
     Task<void> respond(Call& call);
     Task<void> waitForDisconnect(Call& call);
 
     void admitOrReject(const CallPointer& call);
     void expire(const CallPointer& call);
     void sendList(Call& call);
-    void chargeRejection();
+    void addRejectionCost();
     void resetAllCalls();
     std::string changesSince(std::uint64_t since) const;
     Micros serviceTime(double calls) const;
@@ -114,8 +114,8 @@
     PortReservation port_;
     Socket listener_;
     std::list<CallPointer> calls_;
-    std::deque<CallPointer> queue_;  // including those that the client has closed
-    double unpaidRejections_ = 0.0;  // whose cost the worker has not paid yet
+    std::deque<CallPointer> queue_;        // including those that the client has closed
+    double unchargedRejectionCost_ = 0.0;  // whose cost the worker has not paid yet
     std::size_t served_ = 0;
     std::uint64_t version_ = 0;
     std::map<std::string, Entry> entries_;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -63,14 +63,14 @@
                                   hex("02 0b000000 01 2900000000000000 0000")};
     for (std::uint64_t id = 1; id <= 25'000; ++id) {
         Bytes fields;
-        put(fields, id, 8);
-        put(fields, 0, 8);
-        put(fields, 0, 1);
-        put(fields, 0, 2);
-        put(fields, 0, 8);
-        put(fields, 0, 4);
-        put(fields, 0, 4);
-        put(fields, 3'200'000, 4);
+        appendInteger(fields, id, 8);
+        appendInteger(fields, 0, 8);
+        appendInteger(fields, 0, 1);
+        appendInteger(fields, 0, 2);
+        appendInteger(fields, 0, 8);
+        appendInteger(fields, 0, 4);
+        appendInteger(fields, 0, 4);
+        appendInteger(fields, 3'200'000, 4);
         records.push_back(record(3, fields));
     }
     const Bytes input = frame(1000, records);
--- a/tests/simulator_wire_test.cpp
+++ b/tests/simulator_wire_test.cpp
@@ -17,7 +17,7 @@
 
 Bytes encoded(const Action& action) {
     ReplyWriter writer;
-    writer.action(action);
+    writer.writeAction(action);
     const std::span<const std::uint8_t> bytes = writer.finish();
     return {bytes.begin() + simulator::kReplyHeaderBytes, bytes.end()};
 }
@@ -35,7 +35,7 @@
 std::string errorOf(const Bytes& bytes) {
     Dispatcher dispatcher;
     try {
-        dispatcher.answer(bytes);
+        dispatcher.handleFrame(bytes);
     } catch (const std::runtime_error& error) {
         return error.what();
     }
@@ -60,7 +60,7 @@
 
 TEST(SimulatorDispatcher, AnswersAnEmptyFrameWithAnEmptyReply) {
     Dispatcher dispatcher;
-    EXPECT_EQ(dispatcher.answer(hex("0c000000 00000000 5a5c800000000000")), hex("04000000 00000000"));
+    EXPECT_EQ(dispatcher.handleFrame(hex("0c000000 00000000 5a5c800000000000")), hex("04000000 00000000"));
 }
 
 TEST(FrameReader, ReadsEachWidthLittleEndian) {
@@ -76,16 +76,17 @@
 
 TEST(SimulatorDispatcher, StartsAnAttemptAtAListedEndpoint) {
     Dispatcher dispatcher;
-    dispatcher.answer(frame(1000, {selectNode(3), startNode(smallSettings())}));
-    const Bytes healthChecks = dispatcher.answer(
+    dispatcher.handleFrame(frame(1000, {selectNode(3), startNode(smallSettings())}));
+    const Bytes healthChecks = dispatcher.handleFrame(
         frame(2000, {twoEndpoints(), selectNode(3), hex("02 0b000000 01 2900000000000000 0000")}));
     // The node is selected, then there is a health check of each endpoint.
     EXPECT_EQ(healthChecks, hex("21000000 03000000 44 02000000 0300"
                                 "4c 06000000 0a124a07 431f 4c 06000000 0a9011f2 6c1f"));
-    dispatcher.answer(frame(3000, {selectNode(3), hex("08 10000000 78050000 00 0a124a07 431f 01 0000003f"),
-                                   hex("08 10000000 78050000 00 0a9011f2 6c1f 01 00008040")}));
+    dispatcher.handleFrame(
+        frame(3000, {selectNode(3), hex("08 10000000 78050000 00 0a124a07 431f 01 0000003f"),
+                     hex("08 10000000 78050000 00 0a9011f2 6c1f 01 00008040")}));
     // The second endpoint reports 4 times its capacity, so the first, at a half, is selected.
-    const Bytes reply = dispatcher.answer(frame(
+    const Bytes reply = dispatcher.handleFrame(frame(
         4000, {selectNode(3), hex("03 27000000 c4913a5d613c0800 0000000000000000 00 0000 640ad2557c3bf091"
                                   "00000000 00000000 00d43000")}));
     const Bytes head = hex("2f000000 03000000 44 02000000 0300 46 12000000 c4913a5d613c0800 0a124a07 431f");
@@ -100,18 +101,19 @@
 
 TEST(SimulatorDispatcher, ReportsAnExceptionOfTheEngineAsNodeFailure) {
     Dispatcher dispatcher{[](Settings) { return std::make_unique<ThrowingEngine>(); }};
-    EXPECT_EQ(dispatcher.answer(frame(1, {selectNode(3), startNode(smallSettings())})),
+    EXPECT_EQ(dispatcher.handleFrame(frame(1, {selectNode(3), startNode(smallSettings())})),
               hex("18000000 02000000 44 02000000 0300 4d 08000000 0600 62726f6b656e"));
 }
 
 TEST(SimulatorDispatcher, RestartsANodeWithinOneFrame) {
     Dispatcher dispatcher;
-    dispatcher.answer(frame(1000, {selectNode(3), startNode(smallSettings())}));
+    dispatcher.handleFrame(frame(1000, {selectNode(3), startNode(smallSettings())}));
     const Bytes reply =
-        dispatcher.answer(frame(2000, {selectNode(3), hex("0a 00000000"), startNode(smallSettings()),
-                                       twoEndpoints(), hex("02 0b000000 02 2900000000000000 0000")}));
+        dispatcher.handleFrame(frame(2000, {selectNode(3), hex("0a 00000000"), startNode(smallSettings()),
+                                            twoEndpoints(), hex("02 0b000000 02 2900000000000000 0000")}));
     EXPECT_GT(reply.size(), 8U);
-    EXPECT_THROW(dispatcher.answer(frame(3000, {selectNode(4), hex("07 04000000 00000000")})), WireError);
+    EXPECT_THROW(dispatcher.handleFrame(frame(3000, {selectNode(4), hex("07 04000000 00000000")})),
+                 WireError);
 }
 
 TEST(SimulatorDispatcher, AllowsAListNumberToBeReusedWithinOneFrame) {
@@ -119,7 +121,7 @@
     const Bytes oneEndpoint =
         hex("0b 1f000000 0000 01000000 0000803f 0000 0a124a07 431f 0000 03 0000000000000000 0000");
     const Bytes fullList = hex("02 0b000000 01 2900000000000000 0000");
-    const Bytes reply = dispatcher.answer(
+    const Bytes reply = dispatcher.handleFrame(
         frame(1000, {selectNode(1), startNode(smallSettings()), selectNode(2), startNode(smallSettings()),
                      twoEndpoints(), selectNode(1), fullList, oneEndpoint, selectNode(2), fullList}));
     EXPECT_EQ(occurrences(reply, hex("4c 06000000 0a124a07 431f")), 2);
@@ -140,14 +142,14 @@
             start.push_back(startNode(smallSettings(), 6));
             start.push_back(hex("02 0b000000 01 2900000000000000 0000"));
         }
-        dispatcher.answer(frame(1000, start));
+        dispatcher.handleFrame(frame(1000, start));
         if (withSecondNode) {
-            dispatcher.answer(
+            dispatcher.handleFrame(
                 frame(2000, {selectNode(2), hex("08 10000000 78050000 00 0a124a07 431f 01 00008040")}));
         }
-        dispatcher.answer(
+        dispatcher.handleFrame(
             frame(3000, {selectNode(1), hex("08 10000000 78050000 00 0a124a07 431f 01 0000003f")}));
-        return dispatcher.answer(frame(4000, request));
+        return dispatcher.handleFrame(frame(4000, request));
     };
     EXPECT_EQ(run(false), run(true));
     EXPECT_GT(run(false).size(), 8U);
@@ -173,15 +175,17 @@
 
 TEST(MalformedFrame, IsRejectedIfAValueIsUnknown) {
     Dispatcher dispatcher;
-    dispatcher.answer(frame(1, {selectNode(1), startNode(smallSettings())}));
+    dispatcher.handleFrame(frame(1, {selectNode(1), startNode(smallSettings())}));
     EXPECT_THROW(
-        dispatcher.answer(frame(2, {selectNode(1), hex("08 0c000000 78050000 09 0a124a07 431f 00")})),
+        dispatcher.handleFrame(frame(2, {selectNode(1), hex("08 0c000000 78050000 09 0a124a07 431f 00")})),
+        WireError);
+    EXPECT_THROW(
+        dispatcher.handleFrame(frame(2, {selectNode(1), hex("02 0b000000 07 0000000000000000 0000")})),
+        WireError);
+    EXPECT_THROW(
+        dispatcher.handleFrame(frame(2, {selectNode(1), hex("08 14000000 78050000 00 0a124a07 431f 02"
+                                                            "0000803f 0000803f")})),
         WireError);
-    EXPECT_THROW(dispatcher.answer(frame(2, {selectNode(1), hex("02 0b000000 07 0000000000000000 0000")})),
-                 WireError);
-    EXPECT_THROW(dispatcher.answer(frame(2, {selectNode(1), hex("08 14000000 78050000 00 0a124a07 431f 02"
-                                                                "0000803f 0000803f")})),
-                 WireError);
 }
 
 TEST(SettingsParser, UsesDefaultsForMissingKeysAndIgnoresUnknownOnes) {
