--- a/src/membership/call_policy.cpp
+++ b/src/membership/call_policy.cpp
@@ -9,41 +9,42 @@
 
 using namespace std::chrono_literals;
 
-// A node has to apply a change within this time after discovery had it and was reachable, whatever failed
-// meanwhile.
+// A node must apply a change within this time after discovery has the change and is reachable, whatever has
+// failed before.
 constexpr Micros kPropagationDeadline = 6s;
-// The longest time in discovery's queue, until a response has taken longer.
+// Assumed longest time in discovery's queue. A longer time that was recorded replaces this value.
 constexpr Micros kAssumedQueueTime = 3s;
-constexpr Micros kSchedulingMargin = 250ms;  // connection, transfer and scheduling
+constexpr Micros kSchedulingMargin = 250ms;  // for connecting, transfer and scheduling
 
 // The kernel retransmits a SYN after 1 s.
 constexpr Micros kConnectTimeout = 1200ms;
-constexpr int kResponseTimeoutFactor = 3;  // hedging delays until a call times out
+constexpr int kResponseTimeoutFactor = 3;  // the response timeout in multiples of the hedging delay
 
 constexpr Micros kInitialBackoff = 500ms;
 constexpr Micros kMaxBackoff = 2500ms;
-constexpr Micros kMinBackoffBound = 1s;  // of the upper bound, however long the queue is
+constexpr Micros kMinBackoffBound = 1s;  // lower limit of maxBackoff() for a long queue
 constexpr unsigned kMaxDoublings = 6;
-// A call that was rejected later than this was in the queue, which has delayed its caller already.
+// A call that is rejected after this time or later was in the queue, so that the queue time has already
+// delayed the caller.
 constexpr Micros kQueuedRejectionAge = 1s;
 
-// A refused connection costs discovery nothing, and jitter spreads the nodes when it is back.
+// A refused connection puts no load on discovery, and jitter spreads the nodes' calls after an outage.
 constexpr Micros kOutageBackoff = 600ms;
 constexpr Micros kTimeoutBackoff = 300ms;
 
-// Where all nodes call at once, the calls are spread over this time per node, up to the maximum.
+// If all nodes call at the same time, the calls are spread over this time per node, up to the maximum.
 constexpr Micros kJitterPerNode = 5ms;
 constexpr Micros kMaxFleetJitter = 500ms;
 
-// A watch that ended sooner is a sign of a fault at discovery.
+// A watch that ends earlier is a sign of a fault at discovery.
 constexpr Micros kStableWatchAge = 1s;
 
 constexpr Micros kMinDelay = 10ms;
 constexpr Micros kPushBackoff = 300ms;
 constexpr Micros kPushHedgingDelay = 2600ms;
 
-// After the longest backoff a call still gets its response in time; if it is lost, so does its hedging call
-// where the queue is empty by then.
+// A call after the longest backoff still gets its response in time. If that call is lost, its hedging call
+// gets its response in time, provided that the queue is empty by then.
 static_assert(kMaxBackoff + (kAssumedQueueTime + kSchedulingMargin) + kSchedulingMargin <=
               kPropagationDeadline);
 
@@ -59,7 +60,7 @@
     if (pushGrace_) return pushRetry(end);
     switch (end.failure) {
         case CallFailure::HeartbeatTimeout:
-            // Changes may have been missed since the last heartbeat: reconnect without delay.
+            // The node may have missed changes since the last heartbeat, so it reconnects without a delay.
             return {Micros{0}, !stableWatch};
         case CallFailure::WatchEnded:
             if (stableWatch) return {fleetJitter(), true};
@@ -81,7 +82,7 @@
     return {overloadBackoff(), true};
 }
 
-// What was learned of the old address does not apply to the new one.
+// State that was recorded for the old address does not apply to the new one.
 Micros CallPolicy::delayAfterAddressChange() {
     consecutiveRejections_ = 0;
     queueTimes_ = {};
@@ -93,11 +94,12 @@
     return kConnectTimeout;
 }
 
-// Not before the first call is likely to be lost: a hedging call adds load, and a discovery that treats all
-// calls of a client alike may remove the first one from the queue when it rejects the second.
+// A hedging call is not started before the first call is likely to be lost: the hedging call adds load, and a
+// discovery that does not distinguish the calls of a client may remove the first call from the queue when it
+// rejects the second one.
 //
 // After a rejection the queue is known to be full. A slow response is then more likely than a lost one, and
-// the call gets the time that the backoff before it has left of the propagation deadline. The sender of a
+// the call may use the part of the propagation deadline that the preceding backoff has left. The sender of a
 // pushed list has no queue.
 Micros CallPolicy::hedgingDelay() const {
     if (pushGrace_) return kPushHedgingDelay;
@@ -116,12 +118,12 @@
     return std::max(kMinDelay, Micros{static_cast<Micros::rep>(drawn)});
 }
 
-// Spreads the calls of the fleet where all nodes call at once.
+// Random delay that spreads the calls of the fleet when all nodes call at the same time.
 Micros CallPolicy::fleetJitter() {
     return randomDelay(std::min(kJitterPerNode * fleetSize_, kMaxFleetJitter));
 }
 
-// Exponential backoff with full jitter.
+// Exponential backoff with full jitter. Each consecutive call doubles the upper bound, up to maxBackoff().
 Micros CallPolicy::overloadBackoff() {
     const Micros window = kInitialBackoff * (1U << std::min(consecutiveRejections_, kMaxDoublings));
     ++consecutiveRejections_;
@@ -129,8 +131,8 @@
     return lastOverloadBackoff_;
 }
 
-// A node must not miss changes of a pushed list: a watch that ends is reopened at once, and an unreachable
-// sender is called twice within the grace period.
+// A node must not miss changes of a pushed list. A stable watch that ends is reopened immediately, and an
+// unreachable sender is called twice within the grace period.
 Retry CallPolicy::pushRetry(const CallEnd& end) {
     const bool watchLost =
         end.failure == CallFailure::HeartbeatTimeout || end.failure == CallFailure::WatchEnded;
@@ -150,7 +152,8 @@
     return std::max(kAssumedQueueTime, *std::max_element(queueTimes_.begin(), queueTimes_.end()));
 }
 
-// The longest backoff after which a call that is queued for the longest time still gets its response in time.
+// The longest backoff after which a call still gets its response before the propagation deadline, if it
+// spends the longest recorded time in the queue.
 Micros CallPolicy::maxBackoff() const {
     const Micros timeForBackoff = kPropagationDeadline - longestQueueTime() - kSchedulingMargin;
     return std::clamp(timeForBackoff, kMinBackoffBound, kMaxBackoff);
--- a/src/membership/call_policy.hpp
+++ b/src/membership/call_policy.hpp
@@ -1,12 +1,12 @@
-// Decides when a node calls discovery for the endpoint list: the backoff after a failed call, when a hedging
-// call is started beside one without a response, and when a call times out. It has no clock and does no input
-// or output; all times are passed in.
+// Decides when a node calls discovery for the endpoint list: the backoff after a failed call, the time at
+// which a hedging call is started beside a call without a response, and the time at which a call times out.
+// The policy has no clock and does no input or output; all times are passed in.
 //
-// Discovery serves the calls of all nodes from one queue, and an accepted call keeps its place in it for as
-// long as it stays open. A failure that may be a sign of overload (an error status, a connection that breaks
-// in the queue, a slow response) is therefore followed by exponential backoff with full jitter, and an
-// accepted call is not cancelled while its response may still come. A refused connection and an unresponsive
-// path are no signs of overload, and are retried soon.
+// Discovery serves the calls of all nodes from one queue, and an accepted call keeps its position in the
+// queue as long as the call stays open. A failure that may be a sign of overload (an error status, a
+// connection that breaks in the queue, a slow response) is therefore followed by exponential backoff with
+// full jitter, and an accepted call is not cancelled while its response may still arrive. A refused
+// connection or an unresponsive path is not a sign of overload, and the call is retried after a short delay.
 #pragma once
 
 #include <array>
@@ -21,25 +21,26 @@
 
 // Why a call to discovery, or the watch that it opened, ended.
 enum class CallFailure {
-    Unreachable,        // connection refused
+    Unreachable,        // the connection was refused or failed
     ConnectTimeout,     // the connection was not established in time
     Overloaded,         // an error status, or the connection ended before a response
     ResponseTimeout,    // connected, but no complete message in time
-    MalformedResponse,  // it cannot be parsed
+    MalformedResponse,  // the response cannot be parsed
     WatchEnded,         // an open watch ended
-    HeartbeatTimeout,   // an open watch brought no heartbeat in time
+    HeartbeatTimeout,   // an open watch delivered no heartbeat in time
 };
 
 struct CallEnd {
     CallFailure failure = CallFailure::Overloaded;
     Micros elapsed{0};   // from the start of the call to its end, or to its first message
-    Micros watchAge{0};  // from the first message to the end; 0: there was none
+    Micros watchAge{0};  // from the first message to the end; 0: no message arrived
 };
 
 // What to do after a call or its watch has ended.
 struct Retry {
     Micros delay{0};
-    // Whether the decision engine is notified of the failure; not where the watch is merely reopened.
+    // Whether the decision engine is notified of the failure. It is not notified if the watch is only
+    // reopened.
     bool reportFailure = true;
 };
 
@@ -47,25 +48,27 @@
   public:
     explicit CallPolicy(std::uint64_t seed) : random_(seed) {}
 
-    // The number of nodes that watch the same list: where all of them call at once, jitter spreads the calls.
+    // The number of nodes that watch the same list. If all of them call at the same time, jitter spreads the
+    // calls over a time that grows with this number.
     void setFleetSize(std::uint32_t nodes) { fleetSize_ = nodes; }
-    // Where the list is pushed: the time within which a change has to be applied, whether or not a watch is
-    // open. The sender serves a single node, so its failures are no signs of overload. None: the list is
-    // polled.
+    // For a pushed list: the time within which a change must be applied, whether or not a watch is open. The
+    // sender serves a single node, so that its failures are not signs of overload. nullopt: the node
+    // polls the list.
     void setPushGrace(std::optional<Micros> grace) { pushGrace_ = grace; }
 
-    // The first message of a watch came this long after the call was started.
+    // Records that the first message of a watch arrived `elapsed` after the start of the call.
     void recordResponse(Micros elapsed);
-    // A call or its watch has ended: when to call next.
+    // Decides when to call again after a call or its watch has ended.
     Retry nextRetry(const CallEnd& end);
-    // The delay before the first call to another address, after a reload.
+    // Resets the state and returns the delay before the first call to a new address of discovery. A reload
+    // may change the address.
     Micros delayAfterAddressChange();
 
-    // How long the connection of a call may take to be established.
+    // The time limit for establishing the connection of a call.
     Micros connectTimeout() const;
-    // How long after the start of a call a hedging call is started beside it.
+    // The delay from the start of a call to the start of a hedging call beside it.
     Micros hedgingDelay() const;
-    // How long a call may take until its first message.
+    // The time limit from the start of a call to its first message.
     Micros responseTimeout() const;
 
   private:
--- a/src/membership/drain_evidence.cpp
+++ b/src/membership/drain_evidence.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// The part of its capacity that an endpoint uses, as the decision engine reads it from a report.
+// The share of its capacity that an endpoint uses. The decision engine interprets load reports in the same
+// way.
 std::optional<double> utilisationOf(const LoadReport& report) {
     return report.loadOverCapacity ? report.loadOverCapacity : report.cpuUtilisation;
 }
@@ -60,7 +61,7 @@
     evidence.lastConfirmedAt = now;
 }
 
-// BUSY neither renews nor replaces a MOVE: weak evidence does not prolong strong evidence.
+// A BUSY neither confirms nor replaces a MOVE: weak evidence does not prolong strong evidence.
 void DrainEvidence::on(Time now, const EndpointRejectedConnection& event) {
     if (event.report) recordUtilisation(now, event.endpoint, *event.report);
     if (live_ || !isListed(event.endpoint)) return;
@@ -72,8 +73,8 @@
     evidence.lastConfirmedAt = now;
 }
 
-// An attempt that began earlier may have been accepted before the drain, however late its UP comes. One that
-// began at the same time is the retry after a BUSY.
+// An attempt that started before the evidence may have been accepted before the drain, even if its UP arrives
+// later. An attempt that started at the same time as the evidence is the retry after a BUSY.
 void DrainEvidence::on(Time /*now*/, const EndpointAcceptedConnection& event) {
     const auto found = evidence_.find(event.endpoint);
     if (found == evidence_.end()) return;
@@ -111,7 +112,7 @@
     endpoints_[endpoint].utilisation = Utilisation{*loadOverCapacity, now};
 }
 
-// An endpoint of unknown utilisation may be full: its BUSY is no evidence.
+// An endpoint of unknown utilisation may be full, so that its BUSY is not evidence of a drain.
 bool DrainEvidence::mayBeFull(Time now, EndpointId endpoint) const {
     const std::optional<Utilisation>& utilisation = endpoints_.at(endpoint).utilisation;
     if (!utilisation) return true;
@@ -145,8 +146,9 @@
                                                   [](const auto& entry) { return entry.second.isUsable(); }));
 }
 
-// MOVE takes precedence over BUSY, then the evidence that has been sufficient for longest, so that a withheld
-// endpoint is not replaced by another one with the same kind of evidence.
+// MOVE takes precedence over BUSY. Among endpoints with the same kind of evidence, the evidence that has been
+// sufficient for longest takes precedence, so that new evidence of this kind does not release an endpoint
+// that is already withheld.
 std::set<EndpointId> DrainEvidence::chooseWithheld() const {
     std::vector<std::tuple<Kind, Time, EndpointId>> candidates;
     for (const auto& [id, evidence] : evidence_) {
--- a/src/membership/drain_evidence.hpp
+++ b/src/membership/drain_evidence.hpp
@@ -1,15 +1,16 @@
 // Detects draining endpoints by their own responses while the endpoint list is not live.
 //
-// By the protocol a draining endpoint ends its open connections with MOVE and rejects new ones with BUSY.
-// While the node's endpoint list is not live, this is the only evidence of a drain. DrainEvidence collects it
-// and decides which endpoints are withheld from new connections. It has no clock, shares no state and does no
-// input or output; the request tracker passes events to it and applies the result.
+// According to the protocol, a draining endpoint ends its open connections with MOVE and rejects new
+// connections with BUSY. While the node's endpoint list is not live, these responses are the only evidence of
+// a drain. DrainEvidence collects the evidence and decides which endpoints are withheld from new connections.
+// The class has no clock, shares no state and does no input or output; the request tracker passes events to
+// it and applies the result.
 //
-// While the list is live it is authoritative: nothing is collected and nothing is withheld. Evidence of an
+// A live list is authoritative: no evidence is collected and no endpoint is withheld. The evidence against an
 // endpoint is dropped when
 //   - the list becomes live again,
 //   - the list shows that the endpoint has restarted or is gone,
-//   - the endpoint has accepted a connection whose attempt began after the evidence, or
+//   - the endpoint has accepted a connection whose attempt started after the evidence, or
 //   - kEvidenceLifetime has passed since the evidence was last confirmed.
 #pragma once
 
@@ -26,35 +27,36 @@
 
 namespace ivyreel {
 
-// Evidence expires even if discovery never returns, so that an endpoint that was withheld by mistake is used
-// again. One that still drains gets a few attempts and proves it again.
+// Evidence expires even if discovery stays unavailable, so that an endpoint that was withheld by mistake is
+// used again. An endpoint that still drains gets a few attempts, which provide new evidence.
 inline constexpr Micros kEvidenceLifetime = std::chrono::seconds(30);
 
-// A single BUSY may have a transient cause, such as a burst of connections. One MOVE is enough: only a
-// draining endpoint sends it.
+// The number of BUSY responses that are sufficient evidence. A single BUSY may have a transient cause, such
+// as a burst of connections. One MOVE is sufficient, because only a draining endpoint sends it.
 inline constexpr int kRejectionsNeeded = 2;
 
-// Load over capacity up to which an endpoint does not look full. The decision engine fills endpoints to about
-// 0.75, so lack of capacity is an unlikely cause of BUSY below this.
+// The load over capacity above which an endpoint may be full. The decision engine fills endpoints to about
+// 0.75, so that lack of capacity is an unlikely cause of a BUSY at or below this threshold.
 inline constexpr double kFullUtilisationThreshold = 0.7;
 
-// An older load report counts as none. Health checks bring one every 5 s at least; one of them may fail.
+// An older load report is ignored. Health checks provide a report at least every 5 s; one of them may fail.
 inline constexpr Micros kUtilisationLifetime = std::chrono::seconds(10);
 
-// A BUSY that took this part of the attempt's timeout or more counts as "the client's time is up", the
-// protocol's third reason for it. A draining endpoint responds at once.
+// A BUSY after this share of the attempt's timeout or later is not evidence. The cause may be an expired
+// client timeout, which is the protocol's third reason for BUSY. A draining endpoint responds immediately.
 inline constexpr double kPromptRejectionShare = 0.5;
 
-// At most one ready endpoint in this many is withheld, rounded up: a fault that makes many endpoints send
-// MOVE must not empty the pool.
+// At most one ready endpoint in this many is withheld, rounded up, so that eligible endpoints remain if a
+// fault makes many endpoints send MOVE.
 inline constexpr std::size_t kReadyPerWithheld = 3;
 
-// How many of the ready endpoints may be withheld at once; never the last one.
+// The number of ready endpoints that may be withheld at the same time. The last ready endpoint is never
+// withheld.
 std::size_t withholdingLimit(std::size_t readyEndpoints);
 
 // ---- events ----
 
-// An endpoint ended a client's connection with MOVE. A MOVE that the node itself sent does not count.
+// An endpoint ended a client's connection with MOVE. A MOVE that the node itself sent is not such an event.
 struct EndpointSentMove {
     EndpointId endpoint{};
 };
@@ -62,7 +64,7 @@
 // An endpoint rejected a new connection with BUSY.
 struct EndpointRejectedConnection {
     EndpointId endpoint{};
-    std::optional<LoadReport> report;  // that came with the response
+    std::optional<LoadReport> report;  // received with the response
     Micros elapsed{0};                 // since the start of the attempt
     Micros timeout{0};                 // of the attempt
 };
@@ -88,17 +90,17 @@
 struct ListedEndpoint {
     EndpointId id{};
     Availability availability = Availability::Ready;
-    Time startedAt{0};  // 0: long ago
+    Time startedAt{0};  // 0: unknown, counts as long ago
 };
 
 // Entries of the endpoint list were received: the complete list, or those that changed.
 struct ListEntriesReceived {
-    bool full = false;
+    bool full = false;  // whether `entries` is the complete list
     std::vector<ListedEndpoint> entries;
 };
 
-// Operators have banned an endpoint, or lifted the ban. A banned endpoint does not count as ready for the
-// limit.
+// An operator has banned an endpoint or lifted the ban. withholdingLimit() does not count a banned endpoint
+// as ready.
 struct OperatorBanChanged {
     EndpointId endpoint{};
     bool banned = true;
@@ -110,7 +112,7 @@
 
 // ---- the result ----
 
-// The endpoints that are withheld from now on, and those that no longer are.
+// The endpoints that are withheld as a result of an event, and the endpoints that are released.
 struct WithholdingChange {
     std::vector<EndpointId> withheld;
     std::vector<EndpointId> released;
@@ -120,19 +122,19 @@
 
 class DrainEvidence {
   public:
-    // Handles an event at the time `now`, and returns what changed.
+    // Handles an event at the time `now` and returns the change in withheld endpoints.
     WithholdingChange handle(Time now, const DrainEvent& event);
 
-    // Drops expired evidence, and returns what changed.
+    // Removes expired evidence and returns the change in withheld endpoints.
     WithholdingChange expire(Time now);
 
-    // When expire() is to be called next; Time::max() if there is no evidence.
+    // The time at which expire() must be called next; Time::max() if there is no evidence.
     Time nextExpiry() const;
 
     bool withholds(EndpointId endpoint) const { return withheld_.contains(endpoint); }
 
   private:
-    // In order of precedence where the limit does not allow all to be withheld.
+    // In order of precedence, which applies if the limit does not allow withholding all candidates.
     enum class Kind { Move, Rejections };
 
     struct Evidence {
@@ -176,8 +178,8 @@
     WithholdingChange update();
 
     bool live_ = true;
-    std::map<EndpointId, EndpointState> endpoints_;  // all that were ever listed or banned
-    std::map<EndpointId, Evidence> evidence_;        // of listed endpoints, while the list is not live
+    std::map<EndpointId, EndpointState> endpoints_;  // all endpoints that were listed or banned at any time
+    std::map<EndpointId, Evidence> evidence_;        // against listed endpoints; empty while the list is live
     std::set<EndpointId> withheld_;
 };
 
--- a/src/membership/list_freshness.hpp
+++ b/src/membership/list_freshness.hpp
@@ -1,4 +1,4 @@
-// How far a node's endpoint list can be trusted.
+// Whether a node's endpoint list is up to date.
 #pragma once
 
 #include "decision/decision_engine.hpp"
@@ -7,12 +7,12 @@
 
 struct ListFreshness {
     enum class State {
-        Live,        // an open watch delivers each change
-        CatchingUp,  // no response yet to the first call, or to the one after a watch ended
-        Stale,       // a call has failed since the last message
+        Live,        // a watch is open and delivers each change
+        CatchingUp,  // no response yet to the first call, or to the call after a watch has ended
+        Stale,       // a call has failed since discovery's last message
     };
     State state = State::CatchingUp;
-    Time since{0};  // when the last watch ended; at the start, when the process started
+    Time since{0};  // live: when the watch opened; else when the last watch ended or the process started
 
     // For logs.
     static constexpr const char* name(State state) {
--- a/src/membership/membership_call.cpp
+++ b/src/membership/membership_call.cpp
@@ -75,10 +75,11 @@
         return;
     }
     readBody();
-    if (body_.size() > kMaxMessageBytes) throw MembershipUpdateError("message from discovery is too long");
+    if (body_.size() > kMaxMessageBytes)
+        throw MembershipUpdateError("message from discovery is longer than 16 MiB");
 }
 
-// Messages that were received together with the end are read first.
+// Called after readResponse(), so that messages that arrived together with the end are not lost.
 void MembershipCall::checkForEnd(bool received) {
     const bool watching = state_ == State::Watching;
     const CallFailure kind = watching ? CallFailure::WatchEnded : CallFailure::Overloaded;
@@ -90,7 +91,7 @@
     }
 }
 
-// Takes the complete objects of the body, and the empty lines between them, which are heartbeats.
+// Extracts the complete JSON objects from the body, and the empty lines between them, which are heartbeats.
 void MembershipCall::readBody() {
     std::size_t begin = 0;
     for (;;) {
--- a/src/membership/membership_call.hpp
+++ b/src/membership/membership_call.hpp
@@ -1,5 +1,5 @@
-// One call to discovery that opens a watch on the endpoint list: its connection, its request, and the
-// messages of the response as they arrive. It never blocks: its owner calls advance() when the signal was
+// A call to discovery that opens a watch on the endpoint list: its connection, its request, and the messages
+// of the response as they arrive. The call never blocks: its owner calls advance() each time the signal is
 // raised.
 #pragma once
 
@@ -18,14 +18,14 @@
 
 namespace ivyreel {
 
-// An update of the list, or none: a heartbeat.
+// An update of the list; nullopt is a heartbeat.
 using WatchMessage = std::optional<MembershipUpdate>;
 
 class MembershipCall {
   public:
     enum class State {
         Connecting,
-        AwaitingResponse,  // connected; no complete message yet
+        AwaitingResponse,  // connected, but no complete message received yet
         Watching,          // the watch is open
         Failed,
     };
@@ -34,19 +34,21 @@
         std::string reason;  // for the log
     };
 
-    // Starts to connect. `since` is the version of the list that the caller has. Never throws: a call that
-    // cannot be started is in the state Failed.
+    // Starts to connect. `since` is the version of the list that the node already has. Never throws: if the
+    // connection cannot be started, the call is in the state Failed.
     MembershipCall(Signal& signal, const Address& discovery, std::uint64_t since);
 
-    // Writes and reads as much as possible without blocking. True if something was read: there may be more.
+    // Writes and reads as much as possible without blocking. Returns true if data was read: there may be more
+    // to read.
     bool advance();
 
     State state() const { return state_; }
     Time startedAt() const { return startedAt_; }
-    // Why it failed; valid in the state Failed.
+    // The cause of the failure; valid in the state Failed.
     const Failure& failure() const { return failure_; }
     bool hasMessages() const { return !messages_.empty(); }
-    // The messages since the last call of this function, in order, with those that came before a failure.
+    // Returns the messages since the last call of this function, in order. They include the messages that
+    // arrived before a failure.
     std::vector<WatchMessage> takeMessages();
 
   private:
--- a/src/membership/membership_table.hpp
+++ b/src/membership/membership_table.hpp
@@ -1,4 +1,4 @@
-// The endpoint list as the node knows it: its version, its members and their addresses.
+// The node's copy of the endpoint list: its version, its members and their addresses.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 class MembershipTable {
   public:
-    // `connector` is kept up to date with the members' addresses.
+    // The table passes each change of a member's address to `connector`.
     explicit MembershipTable(EndpointConnector& connector) : connector_(connector) {}
 
-    // Applies a complete list, which replaces the one before, or the entries that changed.
+    // Replaces the list by a complete one, or applies the changed entries.
     void apply(const MembershipUpdate& update);
     // The complete list.
     MembershipUpdate snapshot() const;
-    // Of the last update; 0 if there was none.
+    // The version of the last update; 0 before the first update.
     std::uint64_t version() const { return version_; }
 
   private:
--- a/src/membership/membership_update.cpp
+++ b/src/membership/membership_update.cpp
@@ -20,7 +20,7 @@
     throw MembershipUpdateError("unknown endpoint state \"" + state + "\"");
 }
 
-// An endpoint that has left the list needs no address.
+// An entry in the state "left" needs no address.
 Member parseMember(const Json& json) {
     MemberEntry entry;
     entry.name = json.at("id").get<std::string>();
--- a/src/membership/membership_update.hpp
+++ b/src/membership/membership_update.hpp
@@ -1,4 +1,4 @@
-// A message of discovery: the complete endpoint list, or the entries that changed.
+// A message of discovery: the complete endpoint list, or its changed entries.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace ivyreel {
 
-// Discovery's name of the state: "active", "leaving" or "left".
+// Discovery's name of the availability: "active", "leaving" or "left".
 const char* stateName(Availability availability);
 
 // An entry of the endpoint list with the address of the endpoint.
@@ -21,7 +21,7 @@
     Address address;
 };
 
-// A message of discovery that cannot be used.
+// A message of discovery that is invalid.
 class MembershipUpdateError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
@@ -29,13 +29,13 @@
 
 struct MembershipUpdate {
     std::uint64_t version = 0;
-    bool full = false;  // the complete list
+    bool full = false;  // whether `members` is the complete list
     std::vector<Member> members;
 
-    // Parses a message in discovery's format. Throws MembershipUpdateError for a bad state or address, and
-    // nlohmann::json::exception for anything else that cannot be read.
+    // Parses a message in discovery's format. Throws MembershipUpdateError for an unknown state or an invalid
+    // address, and nlohmann::json::exception for any other error.
     static MembershipUpdate parse(std::string_view json);
-    // The message in the same format.
+    // Formats the message in discovery's format.
     std::string text() const;
     // The members without their addresses.
     std::vector<MemberEntry> entries() const;
--- a/src/membership/membership_watcher.cpp
+++ b/src/membership/membership_watcher.cpp
@@ -14,8 +14,8 @@
 
 using namespace std::chrono_literals;
 
-// Discovery sends a heartbeat every 2 s. The shorter the timeout, the more of the propagation deadline is
-// left for the next call.
+// Discovery sends a heartbeat every 2 s. A shorter timeout leaves more of the propagation deadline for the
+// next call.
 constexpr Micros kHeartbeatTimeout = 2300ms;
 constexpr std::size_t kMaxConcurrentCalls = 3;
 
@@ -72,8 +72,8 @@
     }
 }
 
-// While the response is likely to come, there is one call. When it may be lost, a hedging call is started
-// beside it and the first response is used; the first call keeps its place in the queue meanwhile.
+// Starts one call. If its response is likely to be lost, a hedging call is started beside it and the first
+// response is used. The first call stays open and keeps its position in discovery's queue.
 Task<std::unique_ptr<MembershipCall>> MembershipWatcher::openWatch() {
     Calls calls;
     addCall(calls);
@@ -83,7 +83,7 @@
         }
         std::unique_ptr<MembershipCall> answered = takeAnswered(calls);
         if (answered) {
-            cancelAll(calls, "another call was answered first");
+            cancelAll(calls, "another call got a response first");
             co_return answered;
         }
         dropFailed(calls);
@@ -125,8 +125,8 @@
     std::erase_if(calls, failed);
 }
 
-// A connection that is not established shows that the path is unresponsive: earlier calls get no response
-// either.
+// A connect timeout shows that the path to discovery is unresponsive, so that earlier calls will not get a
+// response either. All calls are therefore ended.
 void MembershipWatcher::dropTimedOut(Calls& calls) {
     const Time now = scheduler_.now();
     const auto connectTimedOut = [&](const std::unique_ptr<MembershipCall>& call) {
@@ -150,7 +150,7 @@
 void MembershipWatcher::cancelAll(Calls& calls, std::string_view reason) {
     for (const auto& call : calls) {
         countFailure(CallFailure::ResponseTimeout);
-        spdlog::warn("endpoint list: discovery did not respond, call cancelled after {:.2f} s: {}",
+        spdlog::warn("endpoint list: call cancelled after {:.2f} s without a response from discovery: {}",
                      inSeconds(scheduler_.now() - call->startedAt()), reason);
     }
     calls.clear();
@@ -170,7 +170,7 @@
     handleEnd({failure.kind, scheduler_.now() - call.startedAt(), Micros{0}}, failure.reason);
 }
 
-// Messages that came together with the end of the watch are applied before it is handled.
+// Messages that arrived together with the end of the watch are applied before the end is handled.
 Task<void> MembershipWatcher::followWatch(MembershipCall& watch) {
     const Time openedAt = scheduler_.now();
     const Micros elapsed = openedAt - watch.startedAt();
--- a/src/membership/membership_watcher.hpp
+++ b/src/membership/membership_watcher.hpp
@@ -1,5 +1,5 @@
-// Keeps a node's endpoint list up to date: calls discovery, follows the watch that the call opens, and
-// applies each change. CallPolicy decides when to call and how long to wait.
+// Keeps a node's endpoint list up to date: calls discovery, reads the watch that the call opens, and applies
+// each change. CallPolicy decides when to call and how long to wait.
 #pragma once
 
 #include <cstdint>
@@ -22,49 +22,49 @@
 
 namespace ivyreel {
 
-// The state of the list in the metrics.
+// The state of the endpoint list, for the metrics.
 struct ListStatus {
     ListFreshness::State state = ListFreshness::State::CatchingUp;
-    Micros age{0};               // since the last message of discovery; since the start, if there was none
-    Micros timeWithoutWatch{0};  // in total since the start
+    Micros age{0};               // since discovery's last message; since the start if there was none
+    Micros timeWithoutWatch{0};  // total since the start
 };
 
 class MembershipWatcher {
   public:
-    // `seed` differs between processes, so that their calls are not synchronised.
+    // `seed` must differ between processes, so that their calls are not synchronised.
     MembershipWatcher(Scheduler& scheduler, RequestTracker& tracker, EndpointConnector& connector,
                       Metrics& metrics, const Address& discovery, std::uint64_t seed);
 
-    // Applies a list that was known before the start.
+    // Applies a list that was stored before the start.
     void restore(const MembershipUpdate& known) { table_.apply(known); }
-    // The complete list as it is known now.
+    // The complete list in its current state.
     MembershipUpdate snapshot() const { return table_.snapshot(); }
-    // How far the list can be trusted.
+    // Whether the list is up to date, and since when.
     ListFreshness freshness() const { return freshness_; }
     bool live() const { return freshness_.live(); }
     ListStatus status() const;
     // Whether the first call has opened a watch or has failed.
     bool firstCallEnded() const { return firstCallEnded_; }
-    // The number of nodes that watch the list and, where the list is pushed, the time within which a change
-    // has to be applied. Both decide how calls are made.
+    // The number of nodes that watch the list, and the time within which a change of a pushed list must be
+    // applied. CallPolicy uses both.
     void setFleetSize(std::uint32_t nodes) { policy_.setFleetSize(nodes); }
     void setPushGrace(std::optional<Micros> grace) { policy_.setPushGrace(grace); }
-    // Starts to call discovery. Further calls of this function change nothing: the watcher itself decides
-    // when to call discovery again.
+    // Makes run() call discovery. Later calls of this function have no effect: the watcher itself schedules
+    // its retries.
     void start();
-    // Watches the list at another address from now on, starting at the known version.
+    // Changes the address of discovery. The next watch continues from the known version.
     void moveTo(const Address& discovery);
-    // Runs until the scheduler drops it.
+    // Runs until the scheduler drops the task.
     Task<void> run();
 
   private:
     using Calls = std::vector<std::unique_ptr<MembershipCall>>;  // oldest first
 
-    // Returns the call that opened a watch; none: all calls have failed, or the address has changed.
+    // Returns the call that opened a watch, or null if all calls have failed or the address has changed.
     Task<std::unique_ptr<MembershipCall>> openWatch();
     // Returns when the watch has ended or the address has changed.
     Task<void> followWatch(MembershipCall& watch);
-    // A change of the address meanwhile starts a delay of its own.
+    // Waits until nextCallAt_. A change of the address replaces that time by a delay of its own.
     Task<void> waitForNextCall();
 
     void addCall(Calls& calls);
@@ -88,7 +88,7 @@
     CallPolicy policy_;
     Signal signal_;
     bool started_ = false;
-    bool addressChanged_ = false;  // since the last call
+    bool addressChanged_ = false;  // since the last call to discovery
     bool firstCallEnded_ = false;
     ListFreshness freshness_;
     Micros timeWithoutWatch_{0};
--- a/src/requests/decision.hpp
+++ b/src/requests/decision.hpp
@@ -1,4 +1,4 @@
-// What the decision module decides for a request, and how its owner hears of it.
+// The decisions that the decision engine makes for a request, and the interface that notifies its owner.
 #pragma once
 
 #include <variant>
@@ -7,15 +7,15 @@
 
 namespace ivyreel {
 
-// Attempt the request at this endpoint.
+// Start an attempt at this endpoint.
 struct ForwardTo {
     EndpointId endpoint{};
-    Micros timeout{0};
+    Micros timeout{0};  // of the attempt
 };
 
 // Reject the request; the client may retry.
 struct Rejection {
-    Micros retryAfter{0};  // 0: no advice
+    Micros retryAfter{0};  // recommended delay before the retry; 0: none
 };
 
 // The request has failed.
@@ -23,7 +23,7 @@
 
 using Decision = std::variant<ForwardTo, Rejection, RequestFailure>;
 
-// Notified when a tracked request has a decision, or is to be migrated.
+// Notified when a tracked request has a decision or its connection is to be migrated.
 class DecisionListener {
   public:
     DecisionListener() = default;
--- a/src/requests/endpoint_directory.hpp
+++ b/src/requests/endpoint_directory.hpp
@@ -1,4 +1,5 @@
-// Every endpoint that was ever listed: its availability by the endpoint list, and bans by operators.
+// All endpoints that have been listed at any time, with their availability in the endpoint list and their
+// operator bans.
 #pragma once
 
 #include <cstddef>
@@ -11,17 +12,17 @@
 
 class EndpointDirectory {
   public:
-    // Takes the availability of the entries. A full list makes the endpoints that it lacks unavailable.
+    // Applies the availability of the entries. A full list marks the endpoints that it lacks as gone.
     void update(const EndpointListChanged& change);
-    // Adds an endpoint that was listed at another node.
+    // Adds an endpoint that another node has listed; it counts as gone until it is listed here.
     void add(EndpointId endpoint) { endpoints_.try_emplace(endpoint); }
     void setBanned(EndpointId endpoint, bool banned) { endpoints_[endpoint].banned = banned; }
 
     bool contains(EndpointId endpoint) const { return endpoints_.contains(endpoint); }
     bool isBanned(EndpointId endpoint) const;
-    // Ready by the endpoint list, and not banned.
+    // Whether the endpoint is ready in the list and not banned.
     bool isUsable(EndpointId endpoint) const;
-    // How many endpoints are in the list now.
+    // The number of endpoints in the current list.
     std::size_t listedCount() const;
     std::vector<EndpointId> all() const;
     std::vector<EndpointId> banned() const;
--- a/src/requests/event_conversion.cpp
+++ b/src/requests/event_conversion.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
 constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
 
-// FNV-1a. Never 0, which stands for "no value" in the events.
+// FNV-1a. Never returns 0, which means "no value" in the events.
 std::uint64_t hashOf(std::string_view text) {
     std::uint64_t hash = kFnvOffsetBasis;
     for (const char c : text) {
@@ -20,14 +20,14 @@
     return hash == 0 ? 1 : hash;
 }
 
-// 0 for an empty text and for one of zeros only: clients write "no value" in both ways.
+// Returns 0 for an empty text and for a text of zeros only: clients send "no value" in both forms.
 std::uint64_t hashOrZero(std::string_view text) {
     const bool empty = text.find_first_not_of('0') == std::string_view::npos;
     return empty ? 0 : hashOf(text);
 }
 
-// Endpoints of two zones do not share their memory of idempotency keys, so that zones which the settings do
-// not name need different indices too.
+// Endpoints of different zones do not share their record of idempotency keys. Zones that the settings do not
+// name therefore need distinct indices too.
 ZoneIndex zoneIndexOf(std::vector<std::string>& zoneNames, const std::string& zone) {
     const std::uint32_t index = indexOf(zoneNames, zone);
     if (index == zoneNames.size()) zoneNames.push_back(zone);
--- a/src/requests/event_conversion.hpp
+++ b/src/requests/event_conversion.hpp
@@ -1,4 +1,4 @@
-// Converts the names of the outside to the identifiers and indices of the decision module's events.
+// Converts names from clients and from discovery to the ids and indices in the decision engine's events.
 #pragma once
 
 #include <string_view>
@@ -11,14 +11,14 @@
 
 namespace ivyreel {
 
-// The id of an endpoint, derived from its name: the same at all nodes.
+// The id of an endpoint: a hash of its name, so that all nodes derive the same id.
 EndpointId endpointIdOf(std::string_view name);
 
-// A request as the decision module sees it. An unknown class or tenant gets the index past the last one.
+// Converts a request. An unknown class or tenant gets the index after the last known one.
 RequestArrived toRequestArrived(RequestId request, const RequestAttributes& attributes,
                                 const NodeSettings& settings);
 
-// A change of the endpoint list. Zones that the settings do not name are added to their zone names.
+// Converts a change of the endpoint list. Adds zones that the settings do not name to `settings.zoneNames`.
 EndpointListChanged toEndpointListChanged(EndpointListKind kind, const std::vector<MemberEntry>& entries,
                                           NodeSettings& settings);
 
--- a/src/requests/exported_state.hpp
+++ b/src/requests/exported_state.hpp
@@ -1,4 +1,4 @@
-// What a node hands over to its successor at a hot restart, as far as requests and endpoints are concerned.
+// The state of requests and endpoints that a node hands over to its successor at a hot restart.
 #pragma once
 
 #include <string>
@@ -11,9 +11,9 @@
 
 struct ExportedState {
     LearnedState learnedState;
-    std::vector<std::string> classNames;  // in the order of the learned state's values by class
-    std::vector<EndpointId> listed;       // endpoints that were ever listed
-    std::vector<EndpointId> banned;       // by operators; withholding is not handed over
+    std::vector<std::string> classNames;  // the order of the per-class values in learnedState
+    std::vector<EndpointId> listed;       // endpoints that have been listed at any time
+    std::vector<EndpointId> banned;       // banned by operators; withholding is not handed over
 };
 
 }  // namespace ivyreel
--- a/src/requests/load_report_parser.cpp
+++ b/src/requests/load_report_parser.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Reads one "name=value" into the report; false if the value cannot be read.
+// Parses one "name=value" item into the report. Returns false if the value is not a finite number.
 bool parseItem(std::string_view item, LoadReport& report) {
     const std::size_t equals = item.find('=');
     if (equals == std::string_view::npos) return false;
--- a/src/requests/load_report_parser.hpp
+++ b/src/requests/load_report_parser.hpp
@@ -1,4 +1,4 @@
-// Reads the load reports that servers send between sockets, such as "inflight=7,util=0.61".
+// Parses the load reports that endpoints send, such as "inflight=7,util=0.61".
 #pragma once
 
 #include <optional>
@@ -8,7 +8,8 @@
 
 namespace ivyreel {
 
-// Unknown names and values that are no finite number are ignored; none if nothing is left.
+// Ignores unknown names, and values that are not finite numbers. Returns nullopt if no item has a finite
+// number.
 std::optional<LoadReport> parseLoadReport(std::string_view text);
 
 }  // namespace ivyreel
--- a/src/requests/member_entry.hpp
+++ b/src/requests/member_entry.hpp
@@ -1,4 +1,4 @@
-// An entry of discovery's endpoint list, with the names that it has outside of the decision module.
+// An entry of discovery's endpoint list, with names in place of the decision engine's ids and indices.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
     std::uint32_t cell = 0;
     double weight = 1.0;
     Availability availability = Availability::Ready;
-    Time started{0};  // 0: long ago
+    Time started{0};  // when the endpoint started; 0: unknown, counts as long ago
 };
 
 }  // namespace ivyreel
--- a/src/requests/request_tracker.cpp
+++ b/src/requests/request_tracker.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Even an idle connection causes about a tenth of its usual load. A figure below this share of it is no load.
+// An idle connection causes about a tenth of its usual load. A figure below this share of the usual load is
+// therefore not a load.
 constexpr double kMinimumLoadShare = 0.03;
 
 constexpr double kMicrosPerMilli = 1e3;
@@ -150,8 +151,8 @@
 
 void RequestTracker::attemptEnded(TrackedRequest& request, Outcome outcome, Micros elapsed,
                                   const std::optional<LoadReport>& report) {
-    // Evidence first: the decision module's next attempt must not be at an endpoint that has just shown that
-    // it drains.
+    // The evidence is recorded before the event is sent, so that the decision engine's next attempt is not at
+    // an endpoint for which there is now sufficient drain evidence.
     if (outcome == Outcome::Rejected) {
         recordEvidence(
             EndpointRejectedConnection{request.endpoint_, report, elapsed, request.attemptTimeout_});
@@ -171,9 +172,9 @@
     removeRequest(request);
 }
 
-// Endpoints use one line for both figures. Where the settings announce both, a figure far below the expected
-// load is a latency in milliseconds. Taken for a load, it would make the connections of a slow endpoint look
-// idle, and the node would send it more of them.
+// Endpoints report loads and message delays on the same line. If the settings announce both, a figure far
+// below the expected load is a delay in milliseconds. If a delay counted as a load, the connections of a slow
+// endpoint would look idle, and the endpoint would get more connections.
 void RequestTracker::loadFigureReceived(TrackedRequest& request, double figure) {
     if (settings_.reportsMessageDelay && figure < kMinimumLoadShare * request.expectedLoad_) {
         sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, figure});
@@ -200,8 +201,8 @@
     recordEvidence(EndpointSentMove{endpoint});
 }
 
-// The decision module has the list before withholding ends: it must not choose an endpoint that the list has
-// just removed.
+// The decision engine gets the list before an endpoint is released from withholding. Otherwise it could
+// select an endpoint that the list has just removed.
 void RequestTracker::endpointListReceived(bool full, const std::vector<MemberEntry>& entries) {
     applyListChange(full ? EndpointListKind::Full : EndpointListKind::Delta, entries);
     recordListEntries(full, entries);
@@ -229,7 +230,7 @@
     updateBan(endpoint);
 }
 
-// The decision module knows one kind of ban, whatever its cause.
+// The decision engine does not distinguish between operator bans and withholding.
 void RequestTracker::updateBan(EndpointId endpoint) {
     sendToEngine(
         EndpointBanChanged{endpoint, endpoints_.isBanned(endpoint) || drainEvidence_.withholds(endpoint)});
@@ -277,13 +278,13 @@
     return longest;
 }
 
-// Half of the longest advice that the settings allow.
+// Half of the longest retry delay that the settings allow.
 Micros RequestTracker::retryAfterAdvice() const {
     const RequestLimits& limits = settings_.settings.limits;
     return limits.sendRetryAfter ? limits.maxRetryAfter / 2 : Micros{0};
 }
 
-// ---- the decision module ----
+// ---- the decision engine ----
 
 void RequestTracker::applyListChange(EndpointListKind kind, const std::vector<MemberEntry>& entries) {
     const EndpointListChanged change = toEndpointListChanged(kind, entries, settings_);
@@ -306,7 +307,7 @@
         },
         [this](const RejectRequest& reject) { deliver(reject.request, Rejection{reject.retryAfter}); },
         [this](const FailRequest& fail) { deliver(fail.request, RequestFailure{}); },
-        [](const CancelAttempt&) {},  // the decision that comes with it tells the owner to
+        [](const CancelAttempt&) {},  // the owner cancels the attempt because of the accompanying decision
         [this](const MigrateConnection& migrate) { requestMigration(migrate.request); },
         [this](const StartHealthCheck& start) { environment_.startHealthCheck(start.endpoint); },
         [this](const WatchEndpoints&) { environment_.watchList(); },
--- a/src/requests/request_tracker.hpp
+++ b/src/requests/request_tracker.hpp
@@ -1,8 +1,8 @@
-// Tracks the requests that wait for a decision and the connections that came of them.
+// Tracks requests and the connections that they open, and drives the decision engine.
 //
-// The only code of the node that drives the decision module: it turns what the other parts report into
-// events, and the module's actions into decisions for the owners of requests. It decides nothing and knows no
-// sockets.
+// No other code of the node calls the decision engine. The tracker converts the reports of the other modules
+// to events, and converts the engine's actions to decisions for the owners of requests. It makes no decisions
+// and uses no sockets.
 #pragma once
 
 #include <cstddef>
@@ -40,38 +40,41 @@
 
     // ---- life cycle ----
 
-    // To be called once, before all other functions but the queries.
+    // Must be called once, before any other function except the queries. `knownEndpoints` is the endpoint
+    // list that was cached before the start.
     void start(const std::vector<MemberEntry>& knownEndpoints);
-    // All new settings take effect at once; requests that are under way keep the rules of their class.
+    // Applies new settings immediately. Requests in flight keep the rules of their class.
     void applySettings(NodeSettings settings);
-    // Runs the timers that are due and drops evidence that has expired; returns when to call it next.
+    // Runs the timers that are due and removes expired drain evidence. Returns the time of the next call.
     Time tick();
-    // What this node has learned, for its successor.
+    // The state that the successor continues with after a hot restart.
     ExportedState exportState() const;
-    // Continues with what the predecessor had learned. To be called after start().
+    // Continues with the state of the predecessor. Must be called after start().
     void importState(ExportedState state);
 
     // ---- requests ----
 
-    // The next decision, if there is one. While the decision module still holds the request there is none;
-    // the listener is notified when it comes.
+    // Returns the next decision. Returns nullopt while the decision engine holds the request; the listener is
+    // notified when there is a decision.
     std::optional<Decision> takeDecision(TrackedRequest& request);
-    // Whether the attempt at the endpoint may still begin: the list, a ban, withholding, a restart of the
-    // endpoint or the time may speak against it by now. To be checked before the first byte is sent.
+    // Whether the attempt at the endpoint may still start. Since the decision, the endpoint may have become
+    // unavailable in the list, banned or withheld, it may have restarted, or the decision may have expired.
+    // Must be checked before the first byte is sent.
     bool isStillValid(const TrackedRequest& request, EndpointId endpoint) const;
-    // Fails a request that is not established yet, and cancels its attempt.
+    // Fails a request whose connection is not established yet, and cancels its attempt.
     void abandon(TrackedRequest& request);
 
     // ---- reports on requests and connections ----
 
     // The connection was open at this endpoint before this node started.
     void connectionResumed(TrackedRequest& request, EndpointId endpoint);
-    // `elapsed`: since the attempt began.
+    // `elapsed` is the time since the start of the attempt.
     void connectionEstablished(TrackedRequest& request, Micros elapsed);
     void attemptEnded(TrackedRequest& request, Outcome outcome, Micros elapsed,
                       const std::optional<LoadReport>& report);
     void connectionEnded(TrackedRequest& request, Outcome outcome, const std::optional<LoadReport>& report);
-    // The figure on an endpoint's load line: the connection's load, or the latency of its messages.
+    // `figure` is the number on an endpoint's load line: the connection's load in microseconds of work per
+    // second, or the delay of its messages in milliseconds.
     void loadFigureReceived(TrackedRequest& request, double figure);
     void messageDelayMeasured(TrackedRequest& request, Micros delay);
 
@@ -79,34 +82,34 @@
 
     void healthCheckCompleted(EndpointId endpoint, Outcome outcome, Micros elapsed,
                               const std::optional<LoadReport>& report);
-    // The endpoint ended a client's connection with MOVE. Not for a MOVE that this node sent.
+    // The endpoint ended a client's connection with MOVE. A MOVE that this node sent must not be reported.
     void movedByEndpoint(EndpointId endpoint);
-    // Entries of the endpoint list: all of them, or those that changed.
+    // Entries of the endpoint list: the complete list if `full`, otherwise the changed entries.
     void endpointListReceived(bool full, const std::vector<MemberEntry>& entries);
     void endpointListFailed();
-    // The list is live until the first call. When it becomes live again, the entries of the watch's first
-    // message are to be reported by listed() before this: an endpoint that drains is then not chosen in
-    // between.
+    // The list counts as live until the first call. When the list becomes live again, the entries of the
+    // watch's first message must be reported by endpointListReceived() before this call. Otherwise a draining
+    // endpoint would be selected between the two calls.
     void setListFreshness(const ListFreshness& freshness);
 
     // ---- bans by operators ----
 
-    // False for an endpoint that was never listed.
+    // Returns false if the endpoint was never listed.
     bool setEndpointDisabled(EndpointId endpoint, bool disabled);
-    // Takes over a ban of another node, which may know endpoints that this one does not.
+    // Applies a ban that another node reported. The endpoint need not be listed at this node.
     void applyOperatorBan(EndpointId endpoint, bool banned);
 
     // ---- queries ----
 
-    // Whether neither the list, a ban nor withholding speaks against new connections at the endpoint.
+    // Whether the endpoint is eligible for new connections: ready in the list, not banned and not withheld.
     bool accepts(EndpointId endpoint) const;
     std::size_t listedEndpointCount() const { return endpoints_.listedCount(); }
     std::size_t avoidedEndpointCount() const { return engine_->avoidedEndpointCount(); }
-    // Whether the present settings name the class.
+    // Whether the current settings name the class.
     bool knowsRequestClass(std::string_view name) const { return configuredClasses_.contains(name); }
-    // The longest request timeout of the classes that the present settings name.
+    // The longest request timeout of the classes that the current settings name.
     Micros longestRequestTimeout() const;
-    // The Retry-After of requests that the node rejects by itself; 0: none.
+    // The Retry-After delay for requests that the node rejects without a decision; 0: none.
     Micros retryAfterAdvice() const;
     bool wantsLoadReports() const { return settings_.settings.loadReportMode != LoadReportMode::None; }
     Micros connectTimeout() const { return settings_.settings.limits.connectTimeout; }
@@ -124,7 +127,7 @@
     static void deliver(TrackedRequest& request, const Decision& decision);
     void requestMigration(RequestId request);
 
-    // The decision module.
+    // The decision engine.
     void sendToEngine(const Event& event);
     void perform(const Action& action);
     void applyListChange(EndpointListKind kind, const std::vector<MemberEntry>& entries);
@@ -136,12 +139,12 @@
     void recordListEntries(bool full, const std::vector<MemberEntry>& entries);
     void applyWithholding(const WithholdingChange& change);
 
-    NodeSettings settings_;  // with every name that any settings had, see stable_indices.hpp
-    std::set<std::string, std::less<>> configuredClasses_;  // of the present settings
+    NodeSettings settings_;  // all names since the start, see stable_indices.hpp
+    std::set<std::string, std::less<>> configuredClasses_;  // in the current settings
     TrackerEnvironment& environment_;
     std::unique_ptr<DecisionEngine> engine_;
     std::uint64_t lastRequestId_ = 0;
-    std::unordered_map<std::uint64_t, TrackedRequest*> requests_;  // those in the decision module
+    std::unordered_map<std::uint64_t, TrackedRequest*> requests_;  // tracked by the engine, by id
     TimerQueue timers_;
     EndpointDirectory endpoints_;
     DrainEvidence drainEvidence_;
--- a/src/requests/stable_indices.cpp
+++ b/src/requests/stable_indices.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The present names in their order, then those that are new.
+// The current names in their order, followed by the new names.
 std::vector<std::string> mergedNames(const std::vector<std::string>& next,
                                      const std::vector<std::string>& current) {
     std::vector<std::string> merged = current;
@@ -17,7 +17,7 @@
     return merged;
 }
 
-// The values that belong to the merged names: the next ones, or the current one of a dropped name.
+// The value of each merged name: the next value, or the current value if the next settings drop the name.
 template <class T>
 std::vector<T> mergedValues(const std::vector<std::string>& merged, const std::vector<std::string>& nextNames,
                             const std::vector<T>& nextValues, const std::vector<T>& currentValues) {
@@ -29,7 +29,7 @@
     return values;
 }
 
-// Merges a list of names and what belongs to them.
+// Merges a list of names and the values that belong to them into `nextNames` and `nextValues`.
 template <class T>
 void mergeNamedValues(std::vector<std::string>& nextNames, std::vector<T>& nextValues,
                       const std::vector<std::string>& currentNames, const std::vector<T>& currentValues) {
--- a/src/requests/stable_indices.hpp
+++ b/src/requests/stable_indices.hpp
@@ -1,8 +1,8 @@
-// Names and the indices that stand for them.
+// Indices of names that stay the same when the settings change.
 //
-// The decision module knows request classes, tenants, zones and server kinds by their index in a list of
-// names. An index that was given out once keeps its meaning for the life of the process: new settings may
-// reorder, add and drop names, but names are only ever appended to the lists.
+// The decision engine identifies request classes, tenants, zones and server kinds by their index in a list of
+// names. An index refers to the same name for the lifetime of the process: new settings may reorder, add and
+// drop names, but the lists of names in use only grow, by appending.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
 
 namespace ivyreel {
 
-// The index of a name; the size of the list if the name is not in it.
+// Returns the index of a name, or the size of the list if it does not contain the name.
 std::uint32_t indexOf(const std::vector<std::string>& names, std::string_view name);
 
-// Reorders the lists of the next settings so that each name of the current ones keeps its index, and adds
-// what the next ones no longer name, with its present values.
+// Reorders the lists of `next` so that each name in `current` keeps its index. A name that is missing in
+// `next` is added with its current values.
 void keepIndices(NodeSettings& next, const NodeSettings& current);
 
-// Brings values that belong to the names `from` into the order of the names `to`. A name that only `to` has
-// gets 0, one that only `from` has is dropped.
+// Reorders values from the order of the names `from` to the order of the names `to`. A name that is only in
+// `to` gets 0; the value of a name that is only in `from` is dropped.
 std::vector<double> reorderedValues(const std::vector<double>& values, const std::vector<std::string>& from,
                                     const std::vector<std::string>& to);
 
--- a/src/requests/timer_queue.hpp
+++ b/src/requests/timer_queue.hpp
@@ -1,4 +1,5 @@
-// Timers of the decision module, in the order of their due times; first in, first out among equal ones.
+// Timers of the decision engine, ordered by due time; timers with the same due time are in the order of their
+// addition.
 #pragma once
 
 #include <map>
@@ -12,7 +13,7 @@
   public:
     void add(Time due, TimerToken token) { timers_.emplace(due, token); }
 
-    // Removes and returns the first timer that is due; none if there is none.
+    // Removes and returns the first timer that is due; nullopt if no timer is due.
     std::optional<TimerToken> takeDue(Time now) {
         if (timers_.empty() || timers_.begin()->first > now) return std::nullopt;
         const TimerToken token = timers_.begin()->second;
@@ -20,7 +21,7 @@
         return token;
     }
 
-    // When the next timer is due; Time::max() if there is none.
+    // The due time of the first timer; Time::max() if there are no timers.
     Time nextDue() const { return timers_.empty() ? Time::max() : timers_.begin()->first; }
 
   private:
--- a/src/requests/tracked_request.hpp
+++ b/src/requests/tracked_request.hpp
@@ -1,4 +1,4 @@
-// One request of a client, from its arrival to the end of its connection.
+// A client's request, from its arrival to the end of the connection that it opens.
 #pragma once
 
 #include <optional>
@@ -11,40 +11,42 @@
 
 class RequestTracker;
 
-// What a client says of its request; the views need to live for the constructor of TrackedRequest only.
+// The attributes of a request that its client sent. The views must stay valid only until the constructor of
+// TrackedRequest returns.
 struct RequestAttributes {
     std::string_view requestClass;
     std::string_view tenant;
     std::string_view group;
     std::string_view key;
-    std::optional<double> loadHint;  // microseconds of work a second
+    std::optional<double> loadHint;  // expected load in microseconds of work per second
     Micros clientTimeout{0};
     bool reconnecting = false;
 };
 
-// The owner takes decisions from the tracker until one forwards, rejects or fails the request, and reports
-// the result of each attempt to it. The listener hears of decisions that come in the meantime, so that the
-// owner can wait for the decision module and for its client at once.
+// The owner calls RequestTracker::takeDecision() until the request is established, rejected or failed, and
+// reports the result of each attempt to the tracker. The listener is notified of each decision that is
+// delivered in between, so that the owner can wait for the decision engine and for the client at once.
 class TrackedRequest {
   public:
-    // The decision module learns of the request with the first RequestTracker::takeDecision().
+    // The first call of RequestTracker::takeDecision() passes the request to the decision engine.
     TrackedRequest(RequestTracker& tracker, DecisionListener& listener, const RequestAttributes& attributes);
     TrackedRequest(const TrackedRequest&) = delete;
     TrackedRequest& operator=(const TrackedRequest&) = delete;
     TrackedRequest(TrackedRequest&&) = delete;
     TrackedRequest& operator=(TrackedRequest&&) = delete;
-    // Reports that the client has disconnected, if the decision module still counts the request.
+    // Reports that the client has disconnected if the decision engine still tracks the request.
     ~TrackedRequest();
 
-    // Whether there is a decision to take. One that comes during an attempt cancels the attempt.
+    // Whether there is a decision to take. A decision that arrives during an attempt cancels the attempt.
     bool hasDecision() const { return decision_.has_value(); }
-    // Whether the connection is to be ended politely, so that its client connects again.
+    // Whether the decision engine migrates the connection: the owner sends MOVE and the client reconnects.
     bool shouldMigrate() const { return shouldMigrate_; }
     // The endpoint of the latest attempt.
     EndpointId endpoint() const { return endpoint_; }
-    // Attempts so far, the present one included.
+    // The number of attempts started so far.
     int attempts() const { return attempts_; }
-    // The load of the connection, as the endpoint or else the client reported it last.
+    // The load of the connection in microseconds of work per second: the endpoint's latest report, or the
+    // client's hint if the endpoint has sent none.
     std::optional<double> load() const { return arrival_.loadHint; }
 
   private:
@@ -54,8 +56,8 @@
     RequestTracker& tracker_;
     DecisionListener& listener_;
     RequestArrived arrival_;
-    double expectedLoad_;         // the client's load hint; 0: none
-    bool knownToEngine_ = false;  // the decision module counts the request
+    double expectedLoad_;         // the client's load hint in microseconds of work per second; 0: none
+    bool knownToEngine_ = false;  // the decision engine tracks the request
     bool shouldMigrate_ = false;
     int attempts_ = 0;
     EndpointId endpoint_{};
--- a/src/requests/tracker_environment.hpp
+++ b/src/requests/tracker_environment.hpp
@@ -1,11 +1,11 @@
-// What the request tracker needs of the node around it.
+// The interface through which the request tracker uses the rest of the node.
 #pragma once
 
 #include "decision/types.hpp"
 
 namespace ivyreel {
 
-// No function may call back into the tracker before it returns.
+// An implementation must not call the tracker from within any of these functions.
 class TrackerEnvironment {
   public:
     TrackerEnvironment() = default;
@@ -14,12 +14,13 @@
     TrackerEnvironment(TrackerEnvironment&&) = delete;
     TrackerEnvironment& operator=(TrackerEnvironment&&) = delete;
     virtual ~TrackerEnvironment() = default;
-    // Unix time; never goes back.
+    // Unix time; never decreases.
     virtual Time now() const = 0;
     virtual void startHealthCheck(EndpointId endpoint) = 0;
-    // Polls the endpoint list and watches it from now on.
+    // Requests the endpoint list and opens a watch on it.
     virtual void watchList() = 0;
-    // An endpoint is withheld from new connections because of its own answers, or no longer is.
+    // Called when the tracker starts or stops withholding an endpoint from new connections because of drain
+    // evidence (see membership/drain_evidence.hpp).
     virtual void withholdingChanged(EndpointId /*endpoint*/, bool /*withheld*/) {}
 };
 
--- a/src/simulator/dispatcher.cpp
+++ b/src/simulator/dispatcher.cpp
@@ -12,7 +12,7 @@
 std::vector<std::uint8_t> Dispatcher::handleFrame(std::span<const std::uint8_t> frame) {
     FrameReader reader{frame, 0};
     const std::size_t length = reader.u32();
-    if (length != reader.remaining()) reader.throwError("frame length does not match");
+    if (length != reader.remaining()) reader.throwError("frame length does not match the size of the frame");
     const std::uint32_t records = reader.u32();
     FrameContext context;
     context.now = Time{static_cast<Time::rep>(reader.u64())};
@@ -56,7 +56,7 @@
 }
 
 void Dispatcher::startNode(FrameContext& context, FrameReader& fields) {
-    if (!context.node) fields.throwError("power_on for no node");
+    if (!context.node) fields.throwError("record starts a node, but no node is selected");
     NodeSettings settings = decodeNodeSettings(fields);
     Node node{std::move(settings.reportFields), makeEngine_(std::move(settings.settings))};
     const auto [position, inserted] = nodes_.insert_or_assign(*context.node, std::move(node));
@@ -64,7 +64,7 @@
 }
 
 void Dispatcher::stopNode(const FrameContext& context, const FrameReader& fields) {
-    if (!context.node) fields.throwError("stop for no node");
+    if (!context.node) fields.throwError("record stops a node, but no node is selected");
     nodes_.erase(*context.node);
 }
 
@@ -74,7 +74,7 @@
     return found->second;
 }
 
-// An exception in the decision module ends the node, not the process.
+// An exception in the decision engine is reported as a failure of the node and does not end the process.
 void Dispatcher::deliver(FrameContext& context, Node& node, const Event& event) {
     context.actions.clear();
     try {
--- a/src/simulator/dispatcher.hpp
+++ b/src/simulator/dispatcher.hpp
@@ -1,5 +1,5 @@
-// Answers the simulator's frames: one decision engine per node id, its events in, its actions out. Nothing is
-// shared between nodes but the numbered endpoint lists of the protocol.
+// Handles the simulator's frames: passes the events of each node to the node's decision engine and replies
+// with the engine's actions. Nodes share only the numbered endpoint lists of the protocol.
 #pragma once
 
 #include <cstdint>
@@ -26,8 +26,8 @@
 
     explicit Dispatcher(EngineFactory makeEngine = makeDecisionEngine) : makeEngine_(std::move(makeEngine)) {}
 
-    // Handles all records of one whole frame and returns the bytes of the reply. Throws WireError, or
-    // SettingsError for the settings of a node.
+    // Handles all records of one complete frame and returns the bytes of the reply. Throws WireError for a
+    // malformed frame, and SettingsError for invalid settings of a node.
     std::vector<std::uint8_t> handleFrame(std::span<const std::uint8_t> frame);
 
   private:
@@ -38,10 +38,10 @@
         std::unique_ptr<DecisionEngine> engine;
     };
 
-    // What holds for the records of one frame.
+    // State that the records of one frame share.
     struct FrameContext {
         Time now{0};
-        std::optional<NodeId> node;  // to which the next records belong
+        std::optional<NodeId> node;  // to which the following records belong
         ReplyWriter reply;
         std::vector<Action> actions;  // of the last event
     };
@@ -58,7 +58,8 @@
     EndpointLists endpointLists_;
 };
 
-// Answers frames until the input ends. Returns the exit code of the process.
+// Handles frames until the input ends. Returns the exit code of the process: 0 at the end of the input, 1
+// after an error, which is written to `errors`.
 int serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
 }  // namespace ivyreel::simulator
--- a/src/simulator/event_decoder.cpp
+++ b/src/simulator/event_decoder.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-// Bits of a request's flags.
+// Bits of a request's flags byte.
 constexpr std::uint8_t kHasLoadHint = 1;
 constexpr std::uint8_t kMidFlow = 8;
 constexpr std::uint8_t kReconnecting = 16;
 
-// What a measurement of an open connection is about.
+// The subject of a measurement of an open connection.
 constexpr std::uint8_t kLoadMeasurement = 1;
 constexpr std::uint8_t kDelayMeasurement = 2;
 
 Outcome decodeOutcome(FrameReader& fields) {
     const std::uint8_t code = fields.u8();
     if (code > static_cast<std::uint8_t>(Outcome::NotSent))
-        fields.throwError("unknown outcome " + std::to_string(code));
-    return static_cast<Outcome>(code);  // the wire's 0 to 7 in the order of the enumeration
+        fields.throwError("unknown outcome code " + std::to_string(code));
+    return static_cast<Outcome>(code);  // codes 0 to 7 are in the order of the enumerators
 }
 
 Availability decodeAvailability(FrameReader& fields) {
@@ -34,7 +34,7 @@
         case 3:
             return Availability::Ready;
         default:
-            fields.throwError("unknown availability " + std::to_string(code));
+            fields.throwError("unknown availability code " + std::to_string(code));
     }
 }
 
@@ -49,7 +49,7 @@
 std::uint16_t decodeListNumber(FrameReader& fields) {
     const std::uint16_t number = fields.u16();
     if (number >= kMaxEndpointLists)
-        fields.throwError("list number " + std::to_string(number) + " out of range");
+        fields.throwError("endpoint list number " + std::to_string(number) + " is out of range");
     return number;
 }
 
@@ -68,12 +68,12 @@
 EndpointListChanged decodeListChange(FrameReader& fields, const EndpointLists& lists) {
     const std::uint8_t kind = fields.u8();
     if (kind > static_cast<std::uint8_t>(EndpointListKind::Failed))
-        fields.throwError("unknown list mode " + std::to_string(kind));
-    fields.u64();  // the version: lists come in order and without gaps
+        fields.throwError("unknown endpoint list kind " + std::to_string(kind));
+    fields.u64();  // the version is not needed: lists arrive in order and without gaps
     EndpointListChanged event;
-    event.kind = static_cast<EndpointListKind>(kind);  // the wire's 0 to 3 in the order of the enumeration
+    event.kind = static_cast<EndpointListKind>(kind);  // codes 0 to 3 are in the order of the enumerators
     if (event.kind == EndpointListKind::Failed) {
-        fields.u16();  // the number of a list that does not exist
+        fields.u16();  // a list number that refers to no list
         return event;
     }
     event.endpoints = lists.at(decodeListNumber(fields));
@@ -129,14 +129,14 @@
     const auto value = static_cast<double>(fields.f32());
     const std::uint8_t subject = fields.u8();
     const EndpointId endpoint = fields.endpoint();
-    fields.u8();  // the attempt: a request has one open connection at most
+    fields.u8();  // the attempt is not needed: a request has at most one open connection
     switch (subject) {
         case kLoadMeasurement:
             return ConnectionLoadMeasured{request, endpoint, value};
         case kDelayMeasurement:
             return MessageDelayMeasured{request, endpoint, value};
         default:
-            fields.throwError("unknown topic " + std::to_string(subject));
+            fields.throwError("unknown measurement subject " + std::to_string(subject));
     }
 }
 
@@ -145,7 +145,8 @@
     const std::size_t count = fields.u8();
     if (count == 0) return std::nullopt;
     if (count > reportFields.size())
-        fields.throwError("report of " + std::to_string(count) + " values, fewer are named");
+        fields.throwError("load report has " + std::to_string(count) +
+                          " values, which is more than the settings name");
     LoadReport report;
     for (std::size_t i = 0; i < count; ++i) {
         setReportedValue(report, reportFields[i], static_cast<double>(fields.f32()));
@@ -188,7 +189,7 @@
     const std::uint16_t number = decodeListNumber(fields);
     const std::size_t count = fields.u32();
     if (count > fields.remaining() / kEndpointEntryBytes)
-        fields.throwError("list of " + std::to_string(count) + " overruns");
+        fields.throwError("endpoint list of " + std::to_string(count) + " entries exceeds its record");
     std::vector<EndpointEntry> endpoints;
     endpoints.reserve(count);
     for (std::size_t i = 0; i < count; ++i) {
@@ -224,7 +225,7 @@
         case EventCode::Progress:
             return decodeMeasurement(fields);
         default:
-            fields.throwError("no event of a running node: code " +
+            fields.throwError("not an event of a running node: code " +
                               std::to_string(static_cast<unsigned>(code)));
     }
 }
--- a/src/simulator/event_decoder.hpp
+++ b/src/simulator/event_decoder.hpp
@@ -1,4 +1,4 @@
-// Decodes the records of a frame into events of the decision module. The protocol's terms end here.
+// Decodes the records of a frame to events of the decision engine.
 #pragma once
 
 #include <array>
@@ -12,20 +12,21 @@
 
 namespace ivyreel::simulator {
 
-// The numbered endpoint lists, to which the records of all nodes refer.
+// The endpoint lists by number; the records of all nodes refer to the same lists.
 using EndpointLists = std::array<std::vector<EndpointEntry>, kMaxEndpointLists>;
 
-// The settings with which a node starts. Throws WireError, or SettingsError for the settings themselves.
+// Decodes the settings with which a node starts. Throws WireError for a malformed record, and SettingsError
+// for invalid settings.
 NodeSettings decodeNodeSettings(FrameReader& fields);
 
-// Stores an endpoint list under its number. Throws WireError.
+// Decodes an endpoint list and stores it under its number. Throws WireError for a malformed record.
 void decodeEndpointList(FrameReader& fields, EndpointLists& lists);
 
-// Skips a message of another node: nodes share nothing.
+// Skips a message from another node. It is ignored, because nodes share no state.
 void skipPeerMessage(FrameReader& fields);
 
-// The event of a record that is meant for a running node; `reportFields` are what the node's load reports
-// consist of. Throws WireError.
+// Decodes a record for a running node. `reportFields` names the values of the node's load reports in order.
+// Throws WireError for a malformed record, and for a code that is not an event of a running node.
 Event decodeEvent(EventCode code, FrameReader& fields, const EndpointLists& lists,
                   const std::vector<ReportField>& reportFields);
 
--- a/src/simulator/frame_reader.cpp
+++ b/src/simulator/frame_reader.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-constexpr std::size_t kReadStepBytes =
-    1U << 20U;  // memory grows with what arrives, not with what a header claims
+// Limits the memory that is allocated for a frame length before the bytes arrive.
+constexpr std::size_t kReadStepBytes = 1U << 20U;
 
-// Reads until the frame has `wanted` bytes or the input ends. Returns how many bytes the frame has then.
+// Reads until the frame has `wanted` bytes or the input ends. Returns the resulting size of the frame in
+// bytes.
 std::size_t readUpTo(std::istream& in, std::vector<std::uint8_t>& frame, std::size_t wanted) {
     std::size_t size = frame.size();
     while (size < wanted) {
@@ -42,14 +43,16 @@
     return std::bit_cast<float>(u32());
 }
 
-// Address bytes first, then the port: kept in wire order, so that writing them back is exact.
+// The id contains the address bytes and then the port, in wire order, so that ReplyWriter writes the same
+// bytes.
 EndpointId FrameReader::endpoint() {
     return EndpointId{readInteger(kEndpointBytes)};
 }
 
 std::span<const std::uint8_t> FrameReader::bytes(std::size_t count) {
     if (count > remaining()) {
-        throwError("needs " + std::to_string(count) + " bytes, has " + std::to_string(remaining()));
+        throwError("field needs " + std::to_string(count) +
+                   " bytes, bytes left: " + std::to_string(remaining()));
     }
     const auto result = bytes_.subspan(position_, count);
     position_ += count;
@@ -62,7 +65,7 @@
 }
 
 void FrameReader::expectEnd() const {
-    if (remaining() != 0) throwError(std::to_string(remaining()) + " bytes too many");
+    if (remaining() != 0) throwError(std::to_string(remaining()) + " unexpected bytes after the last field");
 }
 
 void FrameReader::throwError(const std::string& message) const {
@@ -74,16 +77,17 @@
     const std::size_t size = readUpTo(in, frame, kFrameLengthBytes);
     if (size == 0) return false;
     if (size < kFrameLengthBytes)
-        throw WireError("malformed input at offset " + std::to_string(size) + ": frame length cut off");
+        throw WireError("malformed input at offset " + std::to_string(size) +
+                        ": input ends within the frame length");
     const std::size_t length = FrameReader{frame, 0}.u32();
     if (length < kFrameHeaderBytes - kFrameLengthBytes) {
         throw WireError("malformed input at offset 0: frame length " + std::to_string(length) +
-                        " is shorter than its header");
+                        " is less than the header needs");
     }
     const std::size_t total = kFrameLengthBytes + length;
     if (readUpTo(in, frame, total) < total) {
-        throw WireError("malformed input at offset " + std::to_string(frame.size()) + ": frame of " +
-                        std::to_string(total) + " bytes cut off");
+        throw WireError("malformed input at offset " + std::to_string(frame.size()) +
+                        ": input ends within a frame of " + std::to_string(total) + " bytes");
     }
     return true;
 }
--- a/src/simulator/frame_reader.hpp
+++ b/src/simulator/frame_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the simulator's frames: little-endian and bounds-checked.
+// Reads the simulator's frames with bounds checks. Integers are little-endian.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +13,18 @@
 
 namespace ivyreel::simulator {
 
-// Malformed input; the message names its offset in the frame.
+// Malformed input, or a reply that cannot be written. For malformed input the message names the offset in the
+// frame.
 class WireError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
-// Reads fields from a part of a frame, one after another. All functions throw WireError where the part ends
-// before the field.
+// Reads the fields of a part of a frame in sequence. A function that reads a field throws WireError if the
+// part ends before the field does.
 class FrameReader {
   public:
-    // `offsetInFrame` is the offset of the part in its frame, for error messages.
+    // `offsetInFrame` is the offset of the part in its frame, in bytes. It is used in error messages.
     FrameReader(std::span<const std::uint8_t> bytes, std::size_t offsetInFrame)
         : bytes_(bytes), offsetInFrame_(offsetInFrame) {}
 
@@ -34,13 +35,13 @@
     float f32();
     EndpointId endpoint();
     std::span<const std::uint8_t> bytes(std::size_t count);
-    // A reader of the next bytes, which this one skips.
+    // Returns a reader of the next `count` bytes and skips them.
     FrameReader subReader(std::size_t count);
 
     std::size_t remaining() const { return bytes_.size() - position_; }
-    // Throws WireError if anything remains.
+    // Throws WireError if bytes remain.
     void expectEnd() const;
-    // Throws WireError with this message and the present offset.
+    // Throws WireError with this message and the current offset.
     [[noreturn]] void throwError(const std::string& message) const;
 
   private:
@@ -52,8 +53,8 @@
     std::size_t position_ = 0;
 };
 
-// Reads the next whole frame, header included. False at a clean end of input; a truncated frame is a
-// WireError.
+// Reads the next complete frame, including its header. Returns false if the input ends before the frame.
+// Throws WireError if the input ends within the frame or the frame length is invalid.
 bool readFrame(std::istream& in, std::vector<std::uint8_t>& frame);
 
 }  // namespace ivyreel::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,5 @@
-// The program that joins the decision module to the simulator: frames on standard input, replies on standard
-// output.
+// The program that connects the decision engine to the simulator. It reads frames from standard input and
+// writes replies to standard output.
 #include <iostream>
 
 #include "simulator/dispatcher.hpp"
--- a/src/simulator/protocol_codes.hpp
+++ b/src/simulator/protocol_codes.hpp
@@ -1,5 +1,6 @@
-// The numbers of the simulator's protocol, and what each record stands for in this program. The enumerators
-// have the names of the protocol; nothing behind event_decoder and reply_writer uses them.
+// The record codes and sizes of the simulator's protocol. The enumerators have the protocol's names; the
+// comment beside each names the corresponding event or action. No source outside of
+// src/simulator uses them.
 #pragma once
 
 #include <cstddef>
@@ -7,9 +8,9 @@
 
 namespace ivyreel::simulator {
 
-// Records that come in.
+// Codes of records from the simulator.
 enum class EventCode : std::uint8_t {
-    PowerOn = 1,            // a node starts with these settings: Started
+    PowerOn = 1,            // starts a node with these settings: Started
     RosterChange = 2,       // EndpointListChanged
     Query = 3,              // RequestArrived
     AckFirst = 4,           // ConnectionEstablished
@@ -17,20 +18,20 @@
     CancelledByClient = 6,  // ClientDisconnected
     Reminder = 7,           // TimerExpired
     PingResult = 8,         // HealthCheckCompleted
-    FromPeer = 9,           // a message of another node: ignored
-    Stop = 10,              // a node stops
+    FromPeer = 9,           // a message from another node; ignored
+    Stop = 10,              // stops a node
     Census = 11,            // stores a numbered endpoint list
     Resumed = 12,           // ConnectionResumed
     Progress = 13,          // ConnectionLoadMeasured or MessageDelayMeasured
-    Context = 14,           // selects the node of the records that follow
+    Context = 14,           // selects the node to which the following records belong
 };
 
-// Records that go out.
+// Codes of records to the simulator.
 enum class ActionCode : std::uint8_t {
     NoteDown = 65,     // Log
     Withdraw = 66,     // CancelAttempt
     Observe = 67,      // WatchEndpoints
-    For = 68,          // selects the node of the records that follow
+    For = 68,          // selects the node to which the following records belong
     Error = 69,        // FailRequest
     Transmit = 70,     // StartAttempt
     GoAway = 72,       // MigrateConnection
--- a/src/simulator/reply_writer.cpp
+++ b/src/simulator/reply_writer.cpp
@@ -111,7 +111,7 @@
     writeInteger(static_cast<std::uint64_t>(id), kEndpointBytes);
 }
 
-// Microseconds, clamped to what the field can hold.
+// Writes microseconds, clamped to the range of the field.
 void ReplyWriter::writeDuration(Micros value) {
     constexpr Micros::rep kMax = std::numeric_limits<std::uint32_t>::max();
     writeInteger(static_cast<std::uint64_t>(std::clamp<Micros::rep>(value.count(), 0, kMax)), kDurationBytes);
--- a/src/simulator/reply_writer.hpp
+++ b/src/simulator/reply_writer.hpp
@@ -1,4 +1,4 @@
-// Encodes the decision module's actions into the reply to a frame.
+// Encodes the decision engine's actions as the reply to a frame.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +13,17 @@
 
 namespace ivyreel::simulator {
 
-// Builds one reply frame, record by record.
+// Builds one reply frame record by record.
 class ReplyWriter {
   public:
     ReplyWriter();
 
-    // Selects the node of the records that follow.
+    // Selects the node to which the following records belong. Writes a record only if the node changes.
     void selectNode(std::uint16_t node);
     void writeAction(const Action& action);
-    // The selected node has failed.
+    // Reports that the selected node has failed.
     void writeFailure(std::string_view message);
-    // Fills in the header. The bytes are valid as long as this object lives.
+    // Fills in the header and returns the frame. The bytes are valid during the lifetime of this object.
     std::span<const std::uint8_t> finish();
 
   private:
