--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -1,4 +1,4 @@
-// Attempts to connect to an endpoint: what is sent, and with what result.
+// Attempts to open a connection at an endpoint: the bytes that are sent, and the result.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 
-// Decides nothing; the test says whether earlier decisions are still valid.
+// Makes no decisions. The test sets whether earlier decisions are still valid.
 class SilentEngine final : public DecisionEngine {
   public:
     explicit SilentEngine(const bool& isStillValid) : isStillValid_(isStillValid) {}
@@ -29,7 +29,7 @@
     const bool& isStillValid_;
 };
 
-// One endpoint that may be listed, and the client of one attempt.
+// An endpoint, which the test may list, and the client of one attempt.
 struct AttemptFixture : TrackerEnvironment {
     Scheduler scheduler;
     Metrics metrics;
@@ -86,7 +86,7 @@
         return result;
     }
 
-    // Accepts the connection, reads one line and answers.
+    // Accepts the connection, reads one line and sends the answer.
     Task<void> serveEndpoint(std::string& received, std::string answer) {
         int descriptor = -1;
         while (listener.accept(descriptor) != Socket::Accepting::Taken) {
@@ -119,7 +119,7 @@
     EXPECT_TRUE(received.starts_with("OPEN 1 2 c=x,d=")) << received;
 }
 
-TEST(ConnectionAttempt, SendsNothingToAnEndpointThatDrainsMeanwhile) {
+TEST(ConnectionAttempt, SendsNothingToAnEndpointThatDrainsBeforeTheFirstByte) {
     AttemptFixture fixture;
     fixture.list(Availability::Draining);
     std::string received = "(nothing yet)";
@@ -132,7 +132,8 @@
     EXPECT_EQ(fixture.metrics.attempts, 0U);
 }
 
-// The retry window of the request's idempotency key has passed, or the endpoint has restarted.
+// A decision becomes invalid if the retry window of the request's idempotency key has passed or the endpoint
+// has restarted.
 TEST(ConnectionAttempt, SendsNothingWhenTheDecisionIsNoLongerValid) {
     AttemptFixture fixture;
     fixture.list(Availability::Ready);
@@ -145,7 +146,7 @@
     EXPECT_EQ(fixture.metrics.attempts, 0U);
 }
 
-TEST(ConnectionAttempt, OfAResumedConnectionGoesToADrainingEndpoint) {
+TEST(ConnectionAttempt, SucceedsAtADrainingEndpointForAResumedConnection) {
     AttemptFixture fixture;
     fixture.list(Availability::Draining);
     std::string received;
@@ -155,7 +156,8 @@
     EXPECT_EQ(result->kind, AttemptResult::Kind::Up);
 }
 
-// Its descriptor is needed for another connection, but its answer is sent first.
+// A connection is evicted because its descriptor is needed for another connection. Its client must get the
+// final line before the descriptor is closed.
 TEST(FinalLine, IsSentBeforeAnEvictedConnectionIsClosed) {
     AttemptFixture fixture;
     std::array<int, 2> ends{};
@@ -172,10 +174,10 @@
     EXPECT_EQ(::recv(fixture.clientSocket, received.data(), received.size(), 0), 5);
     EXPECT_EQ(std::string(received.data(), 5), "ERR\r\n");
     EXPECT_EQ(::recv(fixture.clientSocket, received.data(), received.size(), 0), 0)
-        << "and closed although the client is still connected";
+        << "the connection is closed although the client is still connected";
 }
 
-TEST(ConnectionAttempt, ToAnEndpointWithoutAnAddressFailsToConnect) {
+TEST(ConnectionAttempt, FailsToConnectToAnEndpointWithoutAnAddress) {
     AttemptFixture fixture;
     const auto result = fixture.runAttempt();
     ASSERT_TRUE(result);
--- a/tests/call_policy_test.cpp
+++ b/tests/call_policy_test.cpp
@@ -1,4 +1,4 @@
-// When a node calls discovery, and how long it waits for the response.
+// The policy that decides when a node calls discovery and how long the node waits for the response.
 #include "membership/call_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -15,15 +15,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kPropagationDeadline = 6s;  // for a change, whatever failed
-constexpr Micros kLongestQueueTime = 3s;     // the longest in discovery's queue
+constexpr Micros kPropagationDeadline = 6s;  // for applying a change after any failure
+constexpr Micros kLongestQueueTime = 3s;     // in discovery's queue
 constexpr int kSeeds = 200;
 
 CallEnd rejection() {
     return {CallFailure::Overloaded, 15ms, 0ms};
 }
 
-// The backoff after each of a number of consecutive rejections.
+// The backoff after each of `count` consecutive rejections.
 std::vector<Micros> backoffsAfterRejections(std::uint64_t seed, int count) {
     CallPolicy policy{seed};
     std::vector<Micros> delays;
@@ -34,7 +34,7 @@
     return delays;
 }
 
-// Of the backoff after one kind of failure, over many seeds.
+// The range of the backoff after one kind of failure over kSeeds seeds.
 struct DelayRange {
     Micros min = Micros::max();
     Micros max{0};
@@ -93,7 +93,7 @@
     EXPECT_LE(policy.nextRetry(rejection()).delay, 500ms);
 }
 
-// A discovery that closes watches at once has a fault: retries without backoff would be a retry storm.
+// A discovery that closes watches immediately has a fault. Retries without backoff would cause a retry storm.
 TEST(CallPolicy, BriefWatchDoesNotResetBackoff) {
     DelayRange last;
     for (int seed = 0; seed < kSeeds; ++seed) {
@@ -108,7 +108,7 @@
     EXPECT_GT(last.mean(), 1s);
 }
 
-TEST(CallPolicy, FailuresWithoutLoadAreAlwaysRetriedSoon) {
+TEST(CallPolicy, FailuresThatAreNoSignOfOverloadAreRetriedAfterAShortDelay) {
     for (const CallFailure failure :
          {CallFailure::Unreachable, CallFailure::ConnectTimeout, CallFailure::ResponseTimeout}) {
         CallPolicy policy{7};
@@ -118,7 +118,7 @@
     }
 }
 
-// The queue time has delayed the caller already, and half of the deadline has passed.
+// The queue time has already delayed the caller, and half of the propagation deadline has passed.
 TEST(CallPolicy, RejectionInQueueDoesNotIncreaseBackoff) {
     CallPolicy policy{7};
     for (int i = 0; i < 20; ++i) {
@@ -126,7 +126,7 @@
     }
 }
 
-TEST(CallPolicy, StableWatchIsReopenedAtOnceAfterHeartbeatTimeout) {
+TEST(CallPolicy, StableWatchIsReopenedImmediatelyAfterHeartbeatTimeout) {
     CallPolicy policy{7};
     const Retry retry = policy.nextRetry({CallFailure::HeartbeatTimeout, 15ms, 10s});
     EXPECT_EQ(retry.delay, 0ms);
@@ -160,7 +160,7 @@
     EXPECT_GT(policy.responseTimeout(), 2 * policy.hedgingDelay());
 }
 
-// Discovery has capacity again, and the first accepted call is lost.
+// Discovery has capacity again, but the response to the first accepted call is lost.
 TEST(CallPolicy, RejectionAndLostCallFitIntoDeadlineOnIdleDiscovery) {
     constexpr Micros kResponseTime = 200ms;
     for (int seed = 0; seed < kSeeds; ++seed) {
@@ -184,7 +184,8 @@
     EXPECT_LE(policy.nextRetry(rejection()).delay, 500ms);
 }
 
-// Discovery is overloaded: a slow response is more likely than a lost one, and a hedging call would add load.
+// If discovery is overloaded, a slow response is more likely than a lost one, and a hedging call would add
+// load.
 TEST(CallPolicy, RejectionIncreasesHedgingDelay) {
     CallPolicy policy{7};
     const Micros initialDelay = policy.hedgingDelay();
@@ -192,7 +193,7 @@
     EXPECT_GE(policy.hedgingDelay(), initialDelay + 1s);
     policy.recordResponse(15ms);
     policy.nextRetry({CallFailure::WatchEnded, 15ms, 20s});
-    EXPECT_EQ(policy.hedgingDelay(), initialDelay) << "a stable watch was open meanwhile";
+    EXPECT_EQ(policy.hedgingDelay(), initialDelay) << "a stable watch resets the hedging delay";
 }
 
 TEST(CallPolicy, RejectionInQueueCountsAsQueueTime) {
@@ -201,7 +202,7 @@
     EXPECT_GT(policy.hedgingDelay(), 8s);
 }
 
-TEST(CallPolicy, OldQueueTimesAreForgotten) {
+TEST(CallPolicy, OldQueueTimesAreDiscarded) {
     CallPolicy policy{7};
     policy.recordResponse(20s);
     for (int i = 0; i < 8; ++i) {
@@ -210,13 +211,13 @@
     EXPECT_LT(policy.hedgingDelay(), 4s);
 }
 
-// A call without a response after a heartbeat timeout.
+// After a heartbeat timeout the response to the first call is lost.
 TEST(CallPolicy, HeartbeatTimeoutAndLostCallFitIntoDeadlineOnIdleDiscovery) {
     const Micros heartbeatTimeout = 2300ms;
     EXPECT_LT(heartbeatTimeout + CallPolicy{7}.hedgingDelay(), kPropagationDeadline);
 }
 
-// Changes of a pushed list are due at once.
+// Changes of a pushed list must be applied within the grace period.
 TEST(CallPolicy, PushedListIsRetriedWithinGrace) {
     CallPolicy policy{7};
     policy.setFleetSize(350);
--- a/tests/discovery_load.hpp
+++ b/tests/discovery_load.hpp
@@ -1,4 +1,5 @@
-// A fleet of followers and an overloaded discovery in virtual time, and the checks on both.
+// A fleet of followers and an overloaded discovery in virtual time, with checks of their calls and deadlines.
+// A follower is a node that watches discovery's endpoint list.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -29,15 +30,16 @@
 
 constexpr std::uint64_t kSeed = 20'240'501;
 
-constexpr Micros kQueuedServiceTime = 3s;
-constexpr Micros kMaxQueueTime = 3s;
-constexpr double kRejectionCost = 1.0 / 15.0;
+constexpr Micros kQueuedServiceTime = 3s;      // time to serve a full queue
+constexpr Micros kMaxQueueTime = 3s;           // until a queued call is rejected
+constexpr double kRejectionCost = 1.0 / 15.0;  // relative to a served call
 
 inline double inSeconds(Micros time) {
     return std::chrono::duration<double>(time).count();
 }
 
-// Discovery's capacity grows with the fleet: serving one call of each follower takes the same time.
+// The size of the fleet, and the time that discovery takes to serve one call of each follower. Discovery's
+// capacity is derived from both, so that it grows with the fleet.
 struct FleetLoad {
     std::size_t followers = 0;
     Micros timeToServeAll{0};
@@ -47,14 +49,15 @@
     }
 };
 
-// Calls per follower for each second that discovery needs to serve all: 4 N in all where it needs 4 s, 8 N
-// where it needs 8 s.
+// The limit on calls per follower for each second that discovery takes to serve all N followers: 4 N calls in
+// total if it takes 4 s, and 8 N calls if it takes 8 s.
 constexpr double kMaxCallsPerSecondOfService = 1.0;
-// In any second: three times the rate of a discovery that serves all calls in 4 s.
+// The limit on calls per follower in any second: three times the rate of a discovery that serves all calls in
+// 4 s.
 constexpr double kMaxCallsPerFollowerAndSecond = 0.75;
 
 constexpr Micros kObservationTime = 20s;  // a fleet that takes longer to recover has failed
-constexpr Micros kHangLimit = 120s;       // virtual time; reached only by a hang
+constexpr Micros kHangLimit = 120s;       // virtual time; only a test that hangs reaches it
 constexpr Micros kPollInterval = 10ms;
 
 inline DiscoveryLimits unlimitedDiscovery() {
@@ -68,7 +71,7 @@
     return {rate, kRejectionCost, static_cast<std::size_t>(queue), kMaxQueueTime};
 }
 
-// A fleet that watches the list of one discovery, and runs a test's script.
+// Runs a test's script with a fleet that watches the list of one discovery.
 class DiscoveryLoad {
   public:
     explicit DiscoveryLoad(const FleetLoad& load)
@@ -84,7 +87,7 @@
 
     Scheduler& scheduler() { return scheduler_; }
     OverloadedDiscovery& discovery() { return discovery_; }
-    // A second discovery, limited from the start, that has no followers yet; the script starts it.
+    // A second discovery that has limits from the start and no followers. The script starts it.
     OverloadedDiscovery& otherDiscovery() { return otherDiscovery_; }
     FollowerFleet& fleet() { return fleet_; }
     const LogCapture& log() const { return log_; }
@@ -92,7 +95,7 @@
     Time now() const { return scheduler_.now(); }
     Micros timeToServeAll() const { return load_.timeToServeAll; }
 
-    // True if the script has run to its end.
+    // Returns true if the script has run to its end.
     bool run(const std::function<Task<void>(DiscoveryLoad&)>& script) {
         bool ended = false;
         discovery_.start();
@@ -107,7 +110,7 @@
         co_await pause.wait(now() + time);
     }
 
-    // Returns when the condition is met, or after the time limit.
+    // Waits until the condition is met or the time limit has passed.
     Task<void> waitUntil(std::function<bool()> met, Micros limit = kObservationTime) {
         const Time deadline = now() + limit;
         while (!met() && now() < deadline) {
@@ -115,7 +118,7 @@
         }
     }
 
-    // Opens all watches while discovery has no limits, then sets the limits.
+    // Opens all watches while discovery has no limits, and then sets the limits.
     Task<void> openAllWatches() {
         discovery_.writeEntry("server-1", "active");
         discovery_.writeEntry("server-2", "active");
@@ -131,7 +134,8 @@
         co_await waitUntil([this, version] { return fleet_.timeAllReceived(version).has_value(); }, limit);
     }
 
-    // All followers got the version in time, with a number of calls that does not overload discovery.
+    // Checks that all followers received the version within the bound, and that the number of calls stays
+    // within the limits above.
     void expectAllReceived(const OverloadedDiscovery& source, std::uint64_t version, Time since,
                            Micros bound) const {
         const std::size_t size = fleet_.followers().size();
@@ -143,11 +147,11 @@
         EXPECT_EQ(fleet_.countHavingReceived(version), size);
         const auto last = fleet_.timeAllReceived(version);
         EXPECT_TRUE(last && *last - since <= bound)
-            << "the bound is " << inSeconds(bound) << " s; the last had it after "
-            << (last ? std::to_string(inSeconds(*last - since)) + " s" : "more than was observed");
+            << "the bound is " << inSeconds(bound) << " s; the last follower received the list after "
+            << (last ? std::to_string(inSeconds(*last - since)) + " s" : "the end of the observation");
         EXPECT_LE(static_cast<double>(received), maxCalls);
         EXPECT_LE(static_cast<double>(callsInBusiestSecond(source, since)), maxPerSecond)
-            << "calls in one second, except the first";
+            << "calls in the busiest second, without the first second";
     }
 
   private:
@@ -168,7 +172,7 @@
             std::count_if(received.begin(), received.end(), [since](Time at) { return at >= since; }));
     }
 
-    // The most calls in any full second since then, except the first.
+    // The largest number of calls in one second after `since`, without the first second.
     static std::size_t callsInBusiestSecond(const OverloadedDiscovery& source, Time since) {
         std::map<Micros::rep, std::size_t> perSecond;
         for (const Time at : source.counts().receivedAt) {
--- a/tests/discovery_load_test.cpp
+++ b/tests/discovery_load_test.cpp
@@ -1,5 +1,5 @@
-// The load of a whole fleet on a discovery that cannot serve all nodes at once, and the time until all nodes
-// have the list. Real sockets, virtual time.
+// The load of a fleet on a discovery that cannot serve all nodes at the same time, and the time until all
+// nodes have the list. The tests use real sockets and virtual time.
 #include "discovery_load.hpp"
 
 #include <gtest/gtest.h>
@@ -15,22 +15,23 @@
 namespace ivyreel {
 namespace {
 
-// Discovery serves one call of each follower in N/rate. A queued call then waits for the waiting limit of 3 s
-// at most, and 2 s are left for backoff: 4 s + 3 s + 2 s = 9 s, or 13 s where N/rate is 8 s.
+// Discovery serves one call of each of N followers in N/rate. A call is queued for at most the maximum queue
+// time of 3 s, and 2 s are allowed for backoff: 4 s + 3 s + 2 s = 9 s, or 13 s if N/rate is 8 s.
 constexpr Micros kBackoffAllowance = 2s;
 Micros listDeadline(const DiscoveryLoad& load) {
     return load.timeToServeAll() + kMaxQueueTime + kBackoffAllowance;
 }
 
 constexpr Micros kResponseDelay = 1s;
-// A node has to apply a change within 6 s after discovery was reachable. A call without a response may come
-// after the longest queue time, N/rate + the waiting limit; with 6 s in place of the backoff: 13 s, or 17 s.
+// A node must apply a change within 6 s after discovery is reachable. A call without a response may follow
+// the longest queue time, which is N/rate + the maximum queue time. With 6 s instead of the backoff, the
+// deadline is 13 s, or 17 s if N/rate is 8 s.
 constexpr Micros kPropagationDeadline = 6s;
 Micros listDeadlineWithUnansweredCalls(const DiscoveryLoad& load) {
     return load.timeToServeAll() + kMaxQueueTime + kPropagationDeadline;
 }
 
-// The heartbeat interval of 2 s and some slack.
+// The heartbeat interval of 2 s plus a margin.
 constexpr Micros kHeartbeatTimeoutDetection = 2500ms;
 
 class DiscoveryLoadTest : public testing::TestWithParam<FleetLoad> {};
@@ -40,13 +41,13 @@
            std::to_string(info.param.timeToServeAll / 1s) + "Seconds";
 }
 
-// Where discovery needs 8 s for all calls, the queue cannot hold the calls of all followers.
+// If discovery takes 8 s to serve all calls, the queue cannot hold the calls of all followers.
 INSTANTIATE_TEST_SUITE_P(Fleets, DiscoveryLoadTest,
                          testing::Values(FleetLoad{32, 4s}, FleetLoad{350, 4s}, FleetLoad{32, 8s},
                                          FleetLoad{350, 8s}),
                          loadName);
 
-// All watches are disconnected at the time of a change, which all followers have to get within the bound.
+// Disconnects all watches and changes the list. All followers must receive the change within the bound.
 Task<void> runDisconnectedWatches(DiscoveryLoad& load, Micros bound) {
     const Time disconnectedAt = load.now();
     load.discovery().disconnectWatches();
@@ -55,7 +56,7 @@
     load.expectAllReceived(load.discovery(), version, disconnectedAt, bound);
 }
 
-TEST_P(DiscoveryLoadTest, AllWatchesBreakAtOnce) {
+TEST_P(DiscoveryLoadTest, AllWatchesDisconnectedAtTheSameTime) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
@@ -113,8 +114,8 @@
     }));
 }
 
-// No heartbeats until the followers detect it: then all of them call at once.
-TEST_P(DiscoveryLoadTest, AllHeartbeatsStopAtOnce) {
+// Heartbeats stop until the followers detect the timeout. All followers then call at the same time.
+TEST_P(DiscoveryLoadTest, AllHeartbeatsStopAtTheSameTime) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
@@ -132,7 +133,8 @@
     }));
 }
 
-// The change is made while the calls are queued: the first message of those served later already contains it.
+// The list changes while calls are queued. The first message of the calls that are served later must contain
+// the change.
 TEST_P(DiscoveryLoadTest, ChangeDuringQueueTimeIsInFirstMessage) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
@@ -158,7 +160,7 @@
     }));
 }
 
-TEST_P(DiscoveryLoadTest, AllSwitchToAnotherDiscoveryAtOnce) {
+TEST_P(DiscoveryLoadTest, AllSwitchToAnotherDiscoveryAtTheSameTime) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         OverloadedDiscovery& other = l.otherDiscovery();
@@ -179,7 +181,7 @@
 constexpr FleetLoad kOneFollower{1, 4s};
 constexpr Micros kPushGrace = 100ms;
 constexpr Micros kReopenDeadline = 20ms;
-constexpr Micros kStableWatchAge = 1200ms;  // long enough to be reopened at once when disconnected
+constexpr Micros kStableWatchAge = 1200ms;  // long enough for a watch to be reopened without a delay
 
 Task<void> startWithPushedList(DiscoveryLoad& load) {
     load.firstFollower().watcher().setPushGrace(kPushGrace);
@@ -190,7 +192,7 @@
     load.discovery().resetCounts();
 }
 
-TEST(PushedListTest, DisconnectedWatchIsReopenedAtOnce) {
+TEST(PushedListTest, DisconnectedWatchIsReopenedImmediately) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await startWithPushedList(l);
@@ -204,7 +206,7 @@
     }));
 }
 
-// Whenever discovery is back, the next call is due within half the grace period.
+// After an outage of any length, the next call must follow within half the grace period.
 TEST(PushedListTest, RefusedConnectionIsRetriedWithinHalfTheGrace) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
@@ -228,7 +230,7 @@
 
 constexpr FleetLoad kPartOfFleet{32, 4s};
 constexpr std::uint32_t kFleetSize = 350;
-constexpr Micros kMinSpread = 250ms;  // of the 500 ms over which the first calls are spread
+constexpr Micros kMinSpread = 250ms;  // the first calls are spread over 500 ms
 constexpr Micros kSlowResponse = 5s;  // longer than the usual hedging delay
 
 TEST(CallTimingTest, FirstCallsToAnotherDiscoveryAreSpread) {
@@ -248,7 +250,7 @@
     }));
 }
 
-TEST(CallTimingTest, QueuedCallIsKeptUntilWaitingLimit) {
+TEST(CallTimingTest, QueuedCallStaysOpenForMaxQueueTime) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         DiscoveryFaults slow;
@@ -286,7 +288,8 @@
 constexpr Micros kQuietPeriod = 15s;
 constexpr Micros kDelayBeyondTimeouts = 10s;
 
-// One call fails: one line in the log contains this text, and the next call gets the list.
+// Checks that one call failed: the log has one line, which contains `text`, and the next call received the
+// list.
 void expectOneLogLineAndList(DiscoveryLoad& load, Time since, std::uint64_t version,
                              const std::string& text) {
     const auto receivedAt = load.fleet().timeAllReceived(version);
@@ -321,7 +324,7 @@
         [](DiscoveryLoad& l) { return runBadResponse(l, "HTTP/1.1 200 OK\r\nTransfer-Enc", "discovery"); }));
 }
 
-// Without a message the watch is not open.
+// A watch is open only after its first message.
 TEST(DiscoveryBadInputTest, HeaderWithoutMessage) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) {
--- a/tests/drain_evidence_test.cpp
+++ b/tests/drain_evidence_test.cpp
@@ -1,4 +1,5 @@
-// Evidence that endpoints drain: what counts, what clears it, and how many endpoints it may withhold.
+// Drain evidence: which events count as evidence, which events clear it, and how many endpoints may be
+// withheld.
 #include "membership/drain_evidence.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +23,7 @@
     return report;
 }
 
-// A number of ready endpoints with ids from 1 on, and a list that is no longer live.
+// Ready endpoints with consecutive ids from 1, and a stale list.
 struct Fixture {
     Time now = 100s;
     DrainEvidence evidence;
@@ -73,7 +74,7 @@
     EXPECT_TRUE(change.released.empty());
     EXPECT_TRUE(f.evidence.withholds(kEndpoint));
     EXPECT_FALSE(f.evidence.withholds(kOther));
-    EXPECT_TRUE(f.handle(EndpointSentMove{kEndpoint}).empty()) << "it is withheld already";
+    EXPECT_TRUE(f.handle(EndpointSentMove{kEndpoint}).empty()) << "the endpoint is already withheld";
 }
 
 TEST(DrainEvidence, OneMoveWithholdsWhileListIsCatchingUp) {
@@ -112,7 +113,7 @@
     Fixture f;
     f.reportLoad(kEndpoint, 0.3);
     f.reject(kEndpoint);
-    EXPECT_FALSE(f.evidence.withholds(kEndpoint)) << "one is not enough";
+    EXPECT_FALSE(f.evidence.withholds(kEndpoint)) << "one BUSY is not sufficient";
     f.reject(kEndpoint);
     EXPECT_TRUE(f.evidence.withholds(kEndpoint));
 }
@@ -197,19 +198,19 @@
     EXPECT_TRUE(f.evidence.withholds(kEndpoint));
 }
 
-// ---- what clears evidence ----
+// ---- clearing of evidence ----
 
-TEST(DrainEvidence, AcceptedConnectionClearsEvidenceOnlyIfAttemptBeganAfterIt) {
+TEST(DrainEvidence, AcceptedConnectionClearsEvidenceOnlyIfAttemptStartedAfterIt) {
     Fixture f;
     const Time before = f.now;
     f.now += 1s;
     f.sendMove(kEndpoint);
     f.now += 1s;
     EXPECT_TRUE(f.handle(EndpointAcceptedConnection{kEndpoint, before}).empty())
-        << "it was sent before the drain";
+        << "the attempt started before the evidence";
     EXPECT_TRUE(f.evidence.withholds(kEndpoint));
     f.handle(EndpointAcceptedConnection{kOther, f.now});
-    EXPECT_TRUE(f.evidence.withholds(kEndpoint)) << "the UP of another endpoint does not count";
+    EXPECT_TRUE(f.evidence.withholds(kEndpoint)) << "an UP from another endpoint does not clear the evidence";
     const WithholdingChange change = f.handle(EndpointAcceptedConnection{kEndpoint, f.now});
     EXPECT_EQ(change.released, std::vector{kEndpoint});
     EXPECT_FALSE(f.evidence.withholds(kEndpoint));
@@ -223,14 +224,14 @@
     EXPECT_EQ(change.released, (std::vector{kEndpoint, kOther}));
     EXPECT_EQ(f.evidence.nextExpiry(), Time::max());
     f.setFreshness(ListFreshness::State::Stale);
-    EXPECT_FALSE(f.evidence.withholds(kEndpoint)) << "a stale list starts without evidence";
+    EXPECT_FALSE(f.evidence.withholds(kEndpoint)) << "the evidence was cleared when the list became live";
 }
 
 TEST(DrainEvidence, OnlyRestartInListClearsEvidence) {
     Fixture f;
     f.sendMove(kEndpoint);
     f.updateList(kEndpoint, Availability::Ready, 50s);
-    EXPECT_TRUE(f.evidence.withholds(kEndpoint)) << "not restarted since the MOVE";
+    EXPECT_TRUE(f.evidence.withholds(kEndpoint)) << "the endpoint has not restarted since the MOVE";
     f.updateList(kEndpoint, Availability::Ready, 51s);
     EXPECT_FALSE(f.evidence.withholds(kEndpoint));
 }
@@ -241,7 +242,7 @@
     f.updateList(kEndpoint, Availability::Gone);
     EXPECT_FALSE(f.evidence.withholds(kEndpoint));
     f.updateList(kEndpoint, Availability::Ready);
-    EXPECT_FALSE(f.evidence.withholds(kEndpoint)) << "listed again";
+    EXPECT_FALSE(f.evidence.withholds(kEndpoint)) << "the endpoint is listed again";
 }
 
 TEST(DrainEvidence, ExpiresWithoutConfirmation) {
@@ -251,7 +252,7 @@
     f.now += kEvidenceLifetime - 1us;
     EXPECT_TRUE(f.evidence.expire(f.now).empty());
     f.sendMove(kEndpoint);
-    EXPECT_EQ(f.evidence.nextExpiry(), f.now + kEvidenceLifetime) << "confirmed";
+    EXPECT_EQ(f.evidence.nextExpiry(), f.now + kEvidenceLifetime) << "the second MOVE confirms the evidence";
     f.now += kEvidenceLifetime;
     EXPECT_EQ(f.evidence.expire(f.now).released, std::vector{kEndpoint});
     EXPECT_FALSE(f.evidence.withholds(kEndpoint));
@@ -278,7 +279,7 @@
 
 // ---- limits ----
 
-TEST(DrainEvidence, LimitKeepsPartOfTheFleetAvailable) {
+TEST(DrainEvidence, LimitKeepsPartOfTheEndpointsAvailable) {
     struct Case {
         std::uint64_t endpoints;
         std::size_t maxWithheld;
@@ -327,11 +328,11 @@
     f.sendMove(kOther);
     ASSERT_EQ(f.withheld(4), 2U);
     f.updateList(EndpointId{4}, Availability::Draining);
-    EXPECT_EQ(f.withheld(4), 1U) << "three endpoints are ready";
+    EXPECT_EQ(f.withheld(4), 1U) << "three endpoints are ready, which allows one";
     EXPECT_TRUE(f.evidence.withholds(kEndpoint));
     f.updateList(EndpointId{3}, Availability::Draining);
     f.updateList(kOther, Availability::Draining);
-    EXPECT_EQ(f.withheld(4), 0U) << "the last ready endpoint";
+    EXPECT_EQ(f.withheld(4), 0U) << "the last ready endpoint is not withheld";
 }
 
 TEST(DrainEvidence, LastEndpointThatIsNotBannedIsNotWithheld) {
--- a/tests/endpoint_directory_test.cpp
+++ b/tests/endpoint_directory_test.cpp
@@ -1,4 +1,4 @@
-// Availability and bans of every endpoint that was ever listed, and the timers of the tracker.
+// The endpoint directory (availability and bans) and the request tracker's timer queue.
 #include "requests/endpoint_directory.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
     return entry;
 }
 
-TEST(EndpointDirectory, AFullListMakesTheEndpointsThatItLacksUnavailable) {
+TEST(EndpointDirectory, AFullListMakesMissingEndpointsUnavailable) {
     EndpointDirectory directory;
     directory.update(
         {EndpointListKind::Cached,
@@ -28,11 +28,11 @@
     EXPECT_EQ(directory.listedCount(), 3U);
     directory.update({EndpointListKind::Full, {entryOf(EndpointId{2}, Availability::Ready)}});
     EXPECT_FALSE(directory.isUsable(EndpointId{1}));
-    EXPECT_TRUE(directory.contains(EndpointId{1})) << "it was listed once";
+    EXPECT_TRUE(directory.contains(EndpointId{1})) << "the endpoint was listed before";
     EXPECT_EQ(directory.listedCount(), 1U);
 }
 
-TEST(EndpointDirectory, ABanHoldsWhateverTheListSays) {
+TEST(EndpointDirectory, ABanIsIndependentOfTheList) {
     EndpointDirectory directory;
     EXPECT_FALSE(directory.isBanned(EndpointId{1}));
     directory.setBanned(EndpointId{1}, true);
@@ -47,7 +47,7 @@
     EXPECT_TRUE(directory.isUsable(EndpointId{1}));
 }
 
-TEST(TimerQueue, GivesTimersOutInTheOrderOfTheirDueTimes) {
+TEST(TimerQueue, ReturnsTimersInTheOrderOfTheirDueTimes) {
     TimerQueue timers;
     EXPECT_EQ(timers.nextDue(), Time::max());
     timers.add(Time{20}, TimerToken{2});
@@ -57,7 +57,8 @@
     EXPECT_EQ(timers.takeDue(Time{9}), std::nullopt);
     EXPECT_EQ(timers.takeDue(Time{20}), TimerToken{1});
     EXPECT_EQ(timers.takeDue(Time{20}), TimerToken{2});
-    EXPECT_EQ(timers.takeDue(Time{20}), TimerToken{3}) << "of equal ones, the first that was added";
+    EXPECT_EQ(timers.takeDue(Time{20}), TimerToken{3})
+        << "timers with equal due times are in the order of their addition";
     EXPECT_EQ(timers.takeDue(Time{20}), std::nullopt);
 }
 
--- a/tests/event_conversion_test.cpp
+++ b/tests/event_conversion_test.cpp
@@ -1,4 +1,4 @@
-// Names of the outside as the ids and indices of the decision engine, and load reports.
+// Conversion of names to the decision engine's ids and indices, and the parser of load reports.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(RequestTracker, ConvertsNamesToIndicesAndAcceptsWhatTheListSaysIsReady) {
+TEST(RequestTracker, ConvertsNamesToIndicesAndAcceptsEndpointsThatAreReadyInTheList) {
     NodeSettings settings;
     settings.classNames = {"chat", "call"};
     settings.tenantNames = {"one", "two"};
@@ -47,7 +47,7 @@
     const EndpointListChanged further = f.last<EndpointListChanged>();
     EXPECT_EQ(further.endpoints.at(0).zone, further.endpoints.at(2).zone);
     EXPECT_NE(further.endpoints.at(0).zone, further.endpoints.at(1).zone)
-        << "zones that the settings do not name are distinct: they share no memory of idempotency keys";
+        << "zones that the settings do not name have distinct indices: they share no idempotency keys";
 
     CountingListener listener;
     std::vector<Decision> decisions;
@@ -64,7 +64,7 @@
     EXPECT_TRUE(arrived.reconnecting);
 }
 
-TEST(RequestTracker, AGroupOrKeyOfZerosIsNone) {
+TEST(RequestTracker, AnEmptyOrAllZeroGroupOrKeyMeansNoValue) {
     NodeSettings settings;
     settings.settings.groupAffinity = true;
     TrackerFixture f{settings};
@@ -83,7 +83,7 @@
     }
 }
 
-TEST(LoadReportParser, ReadsKnownFieldsAndIgnoresOthers) {
+TEST(LoadReportParser, ParsesKnownFieldsAndIgnoresOthers) {
     const auto load = parseLoadReport("inflight=7,queue=2,util=0.61,x0=1.5,odd=3,broken=,nonsense");
     ASSERT_TRUE(load);
     EXPECT_EQ(load->activeRequests, 7.0);
@@ -93,7 +93,8 @@
     EXPECT_FALSE(load->latencyMs);
     EXPECT_FALSE(parseLoadReport(""));
     EXPECT_FALSE(parseLoadReport("broken"));
-    EXPECT_FALSE(parseLoadReport("x0=inf,util=nan,inflight=-inf")) << "not finite";
+    EXPECT_FALSE(parseLoadReport("x0=inf,util=nan,inflight=-inf"))
+        << "values that are not finite are ignored";
 }
 
 }  // namespace
--- a/tests/follower_fleet.cpp
+++ b/tests/follower_fleet.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-// Makes no decisions; reports when the list has changed.
+// Makes no decisions, and calls `listChanged` for each change of the list.
 class Follower::RecordingEngine final : public DecisionEngine {
   public:
     explicit RecordingEngine(std::function<void()> listChanged) : listChanged_(std::move(listChanged)) {}
--- a/tests/follower_fleet.hpp
+++ b/tests/follower_fleet.hpp
@@ -1,5 +1,6 @@
-// Many followers of one discovery in one process. Each is a membership watcher with the parts of a node that
-// it needs, and records when it got each version of the list.
+// Many followers of one discovery in one process. A follower is a node that watches discovery's endpoint
+// list: a membership watcher with the parts of a node that it requires. It records when it received each
+// version of the list.
 #pragma once
 
 #include <cstddef>
@@ -21,20 +22,20 @@
   public:
     struct Reception {
         Time at{0};
-        std::uint64_t updates = 0;  // messages of discovery up to the one with this version
+        std::uint64_t updates = 0;  // updates received up to and including this version
     };
 
     Follower(Scheduler& scheduler, const Address& discovery, std::uint64_t seed);
 
     Time now() const override { return scheduler_.now(); }
     void startHealthCheck(EndpointId) override {}
-    void watchList() override {}  // the watcher retries by itself
+    void watchList() override {}  // the watcher schedules its own retries
 
     MembershipWatcher& watcher() { return watcher_; }
     const Metrics& metrics() const { return metrics_; }
-    // When it got this version or a later one; none: it has not got it yet.
+    // When the follower received this version or a later one; nullopt if it has not.
     std::optional<Reception> receptionOf(std::uint64_t version) const;
-    // The longest time without a live watch, as sampled.
+    // The longest sampled time without a live watch.
     Micros longestGap() const { return longestGap_; }
     void sampleLiveness();
 
@@ -56,13 +57,13 @@
   public:
     FollowerFleet(Scheduler& scheduler, std::size_t count, const Address& discovery, std::uint64_t seed);
 
-    // Spawns the watchers; they end with the scheduler's tasks.
+    // Spawns the watchers. They run until the scheduler drops their tasks.
     void start();
     void moveTo(const Address& discovery);
     const std::vector<std::unique_ptr<Follower>>& followers() const { return followers_; }
     bool allLive() const;
     std::size_t countHavingReceived(std::uint64_t version) const;
-    // When the last follower got the version; none: not all have it.
+    // When the last follower received the version; nullopt if not all followers have received it.
     std::optional<Time> timeAllReceived(std::uint64_t version) const;
     Micros longestGap() const;
 
--- a/tests/frames.hpp
+++ b/tests/frames.hpp
@@ -1,4 +1,4 @@
-// Builds frames of the simulator's protocol byte by byte.
+// Helpers that build frames of the simulator's protocol.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-// The bytes of hexadecimal digits; spaces are ignored.
+// Parses hexadecimal digits; ignores spaces and line breaks.
 inline Bytes hex(const std::string& text) {
     Bytes bytes;
     std::string digits;
@@ -22,7 +22,7 @@
     return bytes;
 }
 
-// Appends a little-endian number.
+// Appends an integer of `width` bytes in little-endian order.
 inline void appendInteger(Bytes& bytes, std::uint64_t value, std::size_t width) {
     for (std::size_t i = 0; i < width; ++i) {
         bytes.push_back(static_cast<std::uint8_t>(value >> (8 * i)));
@@ -40,14 +40,14 @@
     return bytes + fields;
 }
 
-// Selects the node of the records that follow.
+// A record that selects the node to which the following records belong.
 inline Bytes selectNode(std::uint16_t node) {
     Bytes fields;
     appendInteger(fields, node, 2);
     return record(14, fields);
 }
 
-// Starts the selected node.
+// A record that starts the selected node.
 inline Bytes startNode(const std::string& settings, std::uint64_t seed = 7) {
     Bytes fields;
     appendInteger(fields, seed, 8);
@@ -67,7 +67,7 @@
     return result + body;
 }
 
-// Two ready endpoints as list 0.
+// A record that stores two ready endpoints as list 0.
 inline Bytes twoEndpoints() {
     return hex(
         "0b 38000000 0000 02000000"
@@ -75,7 +75,7 @@
         "0000c03f 0000 0a9011f2 6c1f 0100 03 0000000000000000 0000");
 }
 
-// Settings of a node with one request class, and a key that does not exist.
+// Settings of a node with one request class and one unknown key.
 inline const char* smallSettings() {
     return R"({"bounds": {"attemptsCap": 4, "cancel": true, "probes": true, "retryAfter": true,
                "maxRetryAfter": 1500000}, "instances": 1, "registryMode": "push", "report": {"fields": ["x0"],
--- a/tests/membership_watcher_test.cpp
+++ b/tests/membership_watcher_test.cpp
@@ -1,4 +1,4 @@
-// MembershipWatcher with real sockets and a scheduler, and an engine that only counts events.
+// The membership watcher with real sockets, a scheduler and a decision engine that only counts events.
 #include "membership/membership_watcher.hpp"
 
 #include <gtest/gtest.h>
@@ -72,7 +72,7 @@
         watcher.start();
     }
 
-    // The discovery's side of one call, after the request was read.
+    // Discovery's side of one call, after the request was read.
     struct Call {
         explicit Call(Scheduler& scheduler) : signal(scheduler) {}
         Signal signal;
@@ -82,7 +82,7 @@
             connection.send(text, sent);
         }
         void sendHeader() { send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); }
-        // Sends a header and a heartbeat: the watch is open.
+        // Opens the watch: sends a header and a heartbeat.
         void openWatch() {
             sendHeader();
             sendChunk("\n");
@@ -115,7 +115,7 @@
         }
     }
 
-    // Runs a script beside the watcher. False: it has not ended after 20 s.
+    // Runs a script beside the watcher. Returns false if the script has not ended after 20 s.
     bool run(const std::function<Task<void>(Fixture&)>& script) {
         bool ended = false;
         scheduler.spawn(watcher.run());
@@ -154,7 +154,7 @@
         std::string text;
         std::optional<std::size_t> end;
         for (std::size_t at = 0; at < whole.size(); at += step) {
-            EXPECT_FALSE(end) << "before its last byte";
+            EXPECT_FALSE(end) << "found before the last byte of the object";
             text.append(whole.substr(at, step));
             end = first.end(text);
         }
@@ -165,7 +165,7 @@
     EXPECT_EQ(JsonObjectScanner{}.end(R"({"a":"\\"}{)"), 10U);
 }
 
-// A list may be indented, one object on many lines, and arrive in pieces that end anywhere.
+// An update may be indented, so that it spans many lines, and may arrive in pieces that end anywhere.
 TEST(MembershipWatcher, ParsesIndentedListInPieces) {
     Fixture f;
     f.startWithDiscovery();
@@ -184,7 +184,8 @@
     EXPECT_EQ(f.watcher.snapshot().version, 10U);
 }
 
-// Changes missed since the last heartbeat are due soon: the engine's backoff would take too long.
+// Changes that were missed since the last heartbeat must be applied soon. The backoff of the decision engine
+// would take too long.
 TEST(MembershipWatcher, HeartbeatTimeoutReopensWatchWithoutEngineBackoff) {
     Fixture f;
     f.startWithDiscovery();
@@ -192,15 +193,15 @@
         const auto silent = co_await g.nextCall();
         silent->openWatch();
         const auto reopened = co_await g.nextCall();
-        EXPECT_EQ(g.engineEvents.failures, 0) << "the engine, with its backoff, was not involved";
+        EXPECT_EQ(g.engineEvents.failures, 0) << "the failure was not reported to the engine";
         EXPECT_EQ(g.metrics.listFailures, 1U);
         reopened->openWatch();
         co_await g.waitUntil([&g] { return g.watcher.live(); });
     }));
 }
 
-// A rejected call, one that is reset and one without a response: the watcher retries each by itself, without
-// the engine.
+// The watcher retries by itself, without the decision engine, after a refused connection, a rejected call, a
+// call that is reset and a call without a response.
 TEST(MembershipWatcher, RetriesAfterAnyFailure) {
     Fixture f;
     f.watcher.start();
@@ -245,11 +246,11 @@
             co_await g.waitUntil([&g] { return g.watcher.live(); });
         }
         co_await g.waitUntil([&g] { return g.engineEvents.failures == 1; });
-        EXPECT_EQ(g.metrics.listFailures, 1U) << "no other call meanwhile";
+        EXPECT_EQ(g.metrics.listFailures, 1U) << "no other call was made";
     }));
 }
 
-// A call is queued at discovery; a repeated call would go to the end of the queue.
+// A call is queued at discovery. A repeated call would be put at the end of the queue.
 TEST(MembershipWatcher, QueuedCallIsNotRepeated) {
     Fixture f;
     f.startWithDiscovery();
@@ -263,7 +264,7 @@
     }));
 }
 
-// A listener with a full backlog drops connection attempts, like an unreachable host.
+// A listener with a full backlog drops SYN packets, as an unreachable host does.
 TEST(MembershipWatcher, RetriesAfterConnectTimeout) {
     Fixture f;
     const Address address = f.discovery.address();
@@ -278,8 +279,8 @@
     f.watcher.start();
     EXPECT_TRUE(f.run([&queued](Fixture& g) -> Task<void> {
         co_await g.waitUntil([&g] { return g.metrics.listCallsCancelled >= 1; });
-        EXPECT_EQ(g.metrics.listCallsRejected, 0U) << "no sign of overload";
-        EXPECT_EQ(g.metrics.listCalls, 1U) << "no hedging call yet";
+        EXPECT_EQ(g.metrics.listCallsRejected, 0U) << "a connect timeout is not a sign of overload";
+        EXPECT_EQ(g.metrics.listCalls, 1U) << "no hedging call has been started";
         queued.clear();
         for (int descriptor = -1; g.listener.accept(descriptor) == Socket::Accepting::Taken;) {
             ::close(descriptor);
@@ -290,8 +291,9 @@
     }));
 }
 
-// Where the list is pushed, changes are due as soon as the sender is back: the engine would not poll in time.
-TEST(MembershipWatcher, PushedListIsWatchedAgainOnceSenderIsBack) {
+// Changes of a pushed list must be applied as soon as the sender is reachable again. The decision engine
+// would not request the list in time.
+TEST(MembershipWatcher, PushedListIsWatchedAgainOnceSenderIsReachable) {
     Fixture f;
     f.watcher.setPushGrace(100ms);
     f.watcher.start();
@@ -305,7 +307,7 @@
     EXPECT_EQ(f.engineEvents.failures, 0);
 }
 
-TEST(MembershipWatcher, PushedListWatchIsReopenedAtOnce) {
+TEST(MembershipWatcher, PushedListWatchIsReopenedImmediately) {
     Fixture f;
     f.watcher.setPushGrace(100ms);
     f.startWithDiscovery();
--- a/tests/overloaded_discovery.cpp
+++ b/tests/overloaded_discovery.cpp
@@ -138,7 +138,7 @@
     }
 }
 
-// The single worker. The cost of rejections comes first: they have been sent already.
+// The single worker. It spends the cost of rejections first, because their responses have already been sent.
 Task<void> OverloadedDiscovery::serveQueue() {
     Signal pause{scheduler_};
     for (;;) {
@@ -155,7 +155,7 @@
         queue_.pop_front();
         if (call->state == CallState::Queued) call->state = CallState::InService;
         co_await pause.wait(scheduler_.now() + serviceTime(1.0));
-        if (call->state != CallState::InService) continue;  // the client has disconnected meanwhile
+        if (call->state != CallState::InService) continue;  // the client disconnected during the service time
         call->state = CallState::Served;
         call->signal.raise();
     }
@@ -183,7 +183,8 @@
         co_await waitForDisconnect(*call);
     }
     call->state = CallState::Ended;
-    call->connection.socket.reset();  // the peer has closed: a reset loses nothing, and avoids TIME_WAIT
+    // The peer has closed, so that a reset loses no data; it avoids TIME_WAIT.
+    call->connection.socket.reset();
     calls_.remove(call);
 }
 
@@ -195,7 +196,7 @@
     call.connection.in.drop(call.connection.in.size());
 }
 
-// During an outage a proxy responds with 503, at no cost to the worker.
+// During an outage a proxy responds with 503, without cost for the worker.
 void OverloadedDiscovery::admitOrReject(const CallPointer& call) {
     if (outage_ == Outage::None && queue_.size() < limits_.queueCapacity) {
         call->state = CallState::Queued;
@@ -214,7 +215,7 @@
     queueChanged_.raise();
 }
 
-// A call that the client has closed keeps its place in the queue, and is served all the same.
+// A call that the client has closed keeps its position in the queue and still takes its service time.
 Task<void> OverloadedDiscovery::waitUntilServed(CallPointer call) {
     const Time expiresAt = scheduler_.now() + limits_.maxQueueTime;
     while (call->state == CallState::Queued || call->state == CallState::InService) {
@@ -242,7 +243,8 @@
     sendText(call->connection, kUnavailable);
 }
 
-// Sends the list to a served call, after the delay and unless the call is to stay unanswered.
+// Sends the list to a served call after the response delay, unless fault injection leaves the call
+// unanswered.
 Task<void> OverloadedDiscovery::respond(Call& call) {
     if (call.state != CallState::Served) co_return;
     if (faults_.unansweredEvery > 0 && ++served_ % faults_.unansweredEvery == 0) {
@@ -262,7 +264,7 @@
     sendList(call);
 }
 
-// Sent even if the client has closed the call meanwhile, as by a server that does not check.
+// Sends the list even if the client has closed the call, as a server does that does not check.
 void OverloadedDiscovery::sendList(Call& call) {
     sendText(call.connection, kWatchHeader);
     sendChunk(call.connection, changesSince(call.since));
--- a/tests/overloaded_discovery.hpp
+++ b/tests/overloaded_discovery.hpp
@@ -1,5 +1,5 @@
-// A discovery of limited capacity on loopback sockets: one worker, a bounded queue, rejections that cost
-// work, and fault injection.
+// A discovery with limited capacity on loopback sockets: one worker, a bounded queue, rejections that take
+// worker time, and fault injection.
 #pragma once
 
 #include <cstddef>
@@ -22,31 +22,31 @@
 namespace ivyreel {
 
 struct DiscoveryLimits {
-    double callsPerSecond = 0.0;    // served by the worker
-    double rejectionCost = 0.0;     // of a rejection, relative to a served call
-    std::size_t queueCapacity = 0;  // queued calls
-    Micros maxQueueTime{0};         // a call that is queued longer is answered with 503
+    double callsPerSecond = 0.0;    // calls that the worker serves per second
+    double rejectionCost = 0.0;     // worker time of a rejection, relative to a served call
+    std::size_t queueCapacity = 0;  // the maximum number of queued calls
+    Micros maxQueueTime{0};         // a call that is queued for longer is rejected with 503
 };
 
 struct DiscoveryFaults {
-    Micros responseDelay{0};          // of every response
-    std::size_t unansweredEvery = 0;  // one in this many served calls gets no response; 0: none
+    Micros responseDelay{0};          // delay of every response
+    std::size_t unansweredEvery = 0;  // one in this many served calls gets no response; 0: all get one
     bool heartbeatsStopped = false;   // watches stay open, but neither changes nor heartbeats are sent
 };
 
-// A complete failure. Watches are disconnected when an outage begins.
+// A complete outage of discovery. Watches are disconnected when an outage starts.
 enum class Outage { None, Refused, Unavailable, Reset };
 
 struct DiscoveryCounts {
-    std::size_t received = 0;       // requests read
-    std::size_t rejected = 0;       // with 503, without being queued
-    std::size_t expired = 0;        // with 503, after the waiting limit
-    std::size_t answered = 0;       // with the list
-    std::size_t respondedLate = 0;  // after the client had closed the call
+    std::size_t received = 0;       // requests that were read
+    std::size_t rejected = 0;       // rejected with 503 on arrival
+    std::size_t expired = 0;        // rejected with 503 after the maximum queue time
+    std::size_t answered = 0;       // the list was sent
+    std::size_t respondedLate = 0;  // the list was sent after the client had closed the call
     std::size_t unanswered = 0;     // served, but without a response
     std::size_t abandoned = 0;      // closed by the client while queued
-    std::vector<Time> receivedAt;   // of each call
-    std::vector<Time> answeredAt;   // of each call that got the list
+    std::vector<Time> receivedAt;   // the time of each call
+    std::vector<Time> answeredAt;   // the time of each response with the list
 };
 
 class OverloadedDiscovery {
@@ -58,11 +58,11 @@
     void resetCounts() { counts_ = {}; }
     std::size_t watches() const;
 
-    // Spawns the tasks; they end with the scheduler's tasks.
+    // Spawns the tasks. They run until the scheduler drops them.
     void start();
     void setLimits(const DiscoveryLimits& limits) { limits_ = limits; }
     void setFaults(const DiscoveryFaults& faults) { faults_ = faults; }
-    // The next served call gets these bytes in place of the list, and nothing else.
+    // The next served call gets only these bytes instead of the list.
     void setNextResponse(std::string bytes) { nextResponse_ = std::move(bytes); }
     void setOutage(Outage outage);
     void disconnectWatches();
@@ -114,8 +114,8 @@
     PortReservation port_;
     Socket listener_;
     std::list<CallPointer> calls_;
-    std::deque<CallPointer> queue_;        // including those that the client has closed
-    double unchargedRejectionCost_ = 0.0;  // whose cost the worker has not paid yet
+    std::deque<CallPointer> queue_;        // includes calls that the client has closed
+    double unchargedRejectionCost_ = 0.0;  // in served calls, not yet spent by the worker
     std::size_t served_ = 0;
     std::uint64_t version_ = 0;
     std::map<std::string, Entry> entries_;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter as a process over a pipe.
+// The simulator adapter as a process that is connected by a pipe.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -47,7 +47,7 @@
     return result;
 }
 
-TEST(SimulatorProcess, AnswersEveryFrameAndExitsAtEndOfInput) {
+TEST(SimulatorProcess, RepliesToEveryFrameAndExitsAtEndOfInput) {
     const ProcessResult result =
         runSimulator(frame(1, {}) + frame(2, {selectNode(1), startNode(smallSettings())}) + frame(3, {}));
     EXPECT_EQ(result.exitCode, 0);
--- a/tests/request_tracker_fixture.hpp
+++ b/tests/request_tracker_fixture.hpp
@@ -1,4 +1,4 @@
-// A request tracker with a scripted decision engine and an environment whose clock the test sets.
+// A request tracker with a scripted decision engine, and an environment whose clock is set by the test.
 #pragma once
 
 #include <chrono>
@@ -12,10 +12,10 @@
 
 namespace ivyreel::test {
 
-// Of the attempts that forwardTo() starts.
+// The timeout of the attempts that forwardTo() starts.
 inline constexpr Micros kAttemptTimeout = std::chrono::milliseconds(300);
 
-// Answers each event as the test has set, and records the events.
+// Records each event and returns the actions of the test's script.
 class ScriptedEngine final : public DecisionEngine {
   public:
     using Answer = std::function<std::vector<Action>(const Event&)>;
@@ -55,19 +55,19 @@
     }
 };
 
-// Counts the notifications of a request.
+// Counts the notifications about a request.
 struct CountingListener final : DecisionListener {
     int notifications = 0;
     void onDecision() override { ++notifications; }
 };
 
-// Appends the next decision, if there is one.
+// Takes the request's next decision, if there is one, and appends it to `decisions`.
 inline void takeInto(RequestTracker& tracker, TrackedRequest& trackedRequest,
                      std::vector<Decision>& decisions) {
     if (const auto decision = tracker.takeDecision(trackedRequest)) decisions.push_back(*decision);
 }
 
-// Forwards a request that has just arrived; no action for other events.
+// Starts an attempt for a RequestArrived event; returns no actions for other events.
 inline std::vector<Action> forwardTo(const Event& event, EndpointId endpoint) {
     if (const auto* arrived = std::get_if<RequestArrived>(&event))
         return {StartAttempt{arrived->request, endpoint, kAttemptTimeout}};
--- a/tests/request_tracker_settings_test.cpp
+++ b/tests/request_tracker_settings_test.cpp
@@ -1,4 +1,4 @@
-// New settings of a running tracker.
+// Changes of the settings while the tracker runs.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -34,7 +34,7 @@
     for (std::size_t i = 0; i < 4; ++i) {
         EXPECT_EQ(now.classes[i].priorityWeight, static_cast<double>(i + 1));
     }
-    EXPECT_EQ(now.zone, ZoneIndex{1}) << "y, as before";
+    EXPECT_EQ(now.zone, ZoneIndex{1}) << "zone y keeps its index";
     EXPECT_TRUE(f.tracker.knowsRequestClass("dddd"));
     EXPECT_FALSE(f.tracker.knowsRequestClass("bb"));
     f.tracker.endpointListReceived(true, {MemberEntry{"s-1", "z", "", 0, 1.0, Availability::Ready, 0s}});
@@ -42,11 +42,12 @@
     f.tracker.applySettings(namedSettings({"bb"}, {"x", "y"}, 1));
     EXPECT_TRUE(f.tracker.knowsRequestClass("bb"));
     EXPECT_FALSE(f.tracker.knowsRequestClass("a"));
-    EXPECT_EQ(f.last<SettingsChanged>().settings.classes[1].priorityWeight, 2.0) << "back at its index";
+    EXPECT_EQ(f.last<SettingsChanged>().settings.classes[1].priorityWeight, 2.0)
+        << "class bb is configured again and has its previous index";
 }
 
-// It limits how long a stopping node drains.
-TEST(RequestTracker, TheLongestRequestTimeoutIsThatOfThePresentClasses) {
+// The longest request timeout limits the drain time of a node that stops.
+TEST(RequestTracker, LongestRequestTimeoutIsThatOfTheCurrentClasses) {
     NodeSettings both = namedSettings({"a", "b"}, {"x"}, 1);
     both.settings.classes[0].requestTimeout = 5s;
     both.settings.classes[1].requestTimeout = 1s;
--- a/tests/request_tracker_test.cpp
+++ b/tests/request_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Requests from their arrival to the end of their connection.
+// Requests from their arrival to the end of their connections.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(RequestTracker, TakesADecisionThatIsMadeAtOnce) {
+TEST(RequestTracker, ReturnsADecisionThatTheEngineMakesImmediately) {
     TrackerFixture f;
     f.answer = [](const Event& event) { return forwardTo(event, EndpointId{7}); };
     CountingListener listener;
@@ -25,7 +25,7 @@
     EXPECT_FALSE(trackedRequest.hasDecision());
 }
 
-TEST(RequestTracker, HasNoDecisionWhileTheEngineHoldsTheRequestAndNotifiesTheListenerOnce) {
+TEST(RequestTracker, HasNoDecisionWhileTheEngineHoldsTheRequestAndThenNotifiesTheListenerOnce) {
     TrackerFixture f;
     CountingListener listener;
     TrackedRequest trackedRequest{f.tracker, listener, RequestAttributes{}};
@@ -43,7 +43,7 @@
     EXPECT_EQ(std::get<Rejection>(decisions[0]).retryAfter, 400ms);
     EXPECT_FALSE(trackedRequest.hasDecision());
     EXPECT_EQ(listener.notifications, 1);
-    EXPECT_EQ(f.events.size(), before) << "the engine saw it once";
+    EXPECT_EQ(f.events.size(), before) << "the engine gets the request only once";
 }
 
 TEST(RequestTracker, AFailedAttemptLeadsToTheNextDecision) {
@@ -91,7 +91,7 @@
     EXPECT_TRUE(std::holds_alternative<RequestFailure>(decisions[1]));
 }
 
-TEST(RequestTracker, ReportsAClientThatDisconnectedButNotAfterItsRequestEnded) {
+TEST(RequestTracker, ReportsADisconnectedClientUnlessItsRequestHasEnded) {
     TrackerFixture f;
     f.answer = [](const Event& event) { return forwardTo(event, EndpointId{7}); };
     CountingListener listener;
@@ -110,10 +110,11 @@
     }
     EXPECT_TRUE(std::holds_alternative<AttemptEnded>(f.events.back()));
     { const TrackedRequest never{f.tracker, listener, RequestAttributes{}}; }
-    EXPECT_TRUE(std::holds_alternative<AttemptEnded>(f.events.back())) << "one without a decision taken";
+    EXPECT_TRUE(std::holds_alternative<AttemptEnded>(f.events.back()))
+        << "the engine does not know a request for which no decision was taken";
 }
 
-TEST(RequestTracker, AbandoningFailsARequestAndCancelsItsAttempt) {
+TEST(RequestTracker, AbandonFailsARequestAndCancelsItsAttempt) {
     TrackerFixture f;
     CountingListener listener;
     std::vector<Decision> decisions;
@@ -135,10 +136,10 @@
     EXPECT_TRUE(out.hasDecision());
     const std::size_t before = f.events.size();
     f.tracker.abandon(out);
-    EXPECT_EQ(f.events.size(), before) << "only once";
+    EXPECT_EQ(f.events.size(), before) << "the second call has no effect";
 }
 
-TEST(RequestTracker, AMigrationNotifiesTheListenerAndEndsTheReports) {
+TEST(RequestTracker, AMigrationNotifiesTheListenerAndEndsReportsToTheEngine) {
     TrackerFixture f;
     CountingListener listener;
     TrackedRequest trackedRequest{f.tracker, listener, RequestAttributes{}};
@@ -154,7 +155,7 @@
     EXPECT_EQ(f.events.size(), before);
 }
 
-// An established connection with an expected load of 50,000 us of work a second.
+// An established connection with an expected load of 50,000 us of work per second.
 struct EstablishedConnection : TrackerFixture {
     explicit EstablishedConnection(bool reportsMessageDelay)
         : TrackerFixture(settingsWith(reportsMessageDelay)) {
@@ -174,14 +175,15 @@
     TrackedRequest trackedRequest{tracker, listener, attributesWithLoad()};
 };
 
-// Both figures come on the same line: taken for a load, a delay would make a slow endpoint look idle.
+// Endpoints report loads and message delays on the same line. A delay that counts as a load would make a slow
+// endpoint look idle.
 TEST(RequestTracker, AFigureFarBelowTheExpectedLoadIsAMessageDelay) {
     EstablishedConnection f{true};
     f.tracker.loadFigureReceived(f.trackedRequest, 23.5);
     EXPECT_EQ(f.last<MessageDelayMeasured>().messageMs, 23.5);
     EXPECT_EQ(f.trackedRequest.load(), 50'000);
     f.tracker.loadFigureReceived(f.trackedRequest, 5'000);
-    EXPECT_EQ(f.last<ConnectionLoadMeasured>().load, 5'000) << "idle";
+    EXPECT_EQ(f.last<ConnectionLoadMeasured>().load, 5'000) << "the load of an idle connection";
 }
 
 TEST(RequestTracker, EveryFigureIsALoadWhereEndpointsReportNoMessageDelay) {
--- a/tests/request_tracker_withholding_test.cpp
+++ b/tests/request_tracker_withholding_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that are withheld because of their own answers, and bans by operators.
+// Withholding of endpoints because of their own responses, and bans by operators.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-// Three ready endpoints, of which the first drains, and a stale list. The engine forwards every request to
-// the first one.
+// Three ready endpoints and a stale list. The first endpoint drains, and the engine forwards every request to
+// it.
 struct StaleListFixture : TrackerFixture {
     const EndpointId draining = endpointIdOf("s-1");
     CountingListener listener;
@@ -30,7 +30,7 @@
 
     void freshness(ListFreshness::State state) { tracker.setListFreshness({state, clock}); }
 
-    // The latest ban that the engine has for an endpoint; none if it was sent none.
+    // The state of the latest ban event that the engine got for an endpoint; nullopt if there was none.
     std::optional<bool> reportedBan(EndpointId endpoint) const {
         std::optional<bool> reported;
         for (const Event& event : events) {
@@ -40,7 +40,7 @@
         return reported;
     }
 
-    // A new request's attempt that is answered with BUSY.
+    // Starts a request whose attempt is rejected with BUSY.
     void rejectAttempt(const std::optional<LoadReport>& load) {
         TrackedRequest trackedRequest{tracker, listener, RequestAttributes{}};
         ASSERT_TRUE(tracker.takeDecision(trackedRequest));
@@ -54,7 +54,7 @@
     }
 };
 
-TEST(RequestTracker, KeepsABanAcrossListChangesAndRejectsOneOfAnUnknownEndpoint) {
+TEST(RequestTracker, KeepsABanAcrossListChangesAndRejectsABanOfAnUnknownEndpoint) {
     TrackerFixture f;
     const MemberEntry endpoint{"s-1", "", "", 0, 1.0, Availability::Ready, 0s};
     EXPECT_FALSE(f.tracker.setEndpointDisabled(endpointIdOf("s-1"), true));
@@ -64,14 +64,14 @@
     EXPECT_TRUE(f.tracker.setEndpointDisabled(endpointIdOf("s-1"), true));
     EXPECT_TRUE(f.last<EndpointBanChanged>().banned);
     EXPECT_FALSE(f.tracker.accepts(endpointIdOf("s-1")));
-    EXPECT_EQ(f.tracker.listedEndpointCount(), 1U) << "it is in the list all the same";
+    EXPECT_EQ(f.tracker.listedEndpointCount(), 1U) << "a banned endpoint is still listed";
     f.tracker.endpointListReceived(true, {});
     EXPECT_EQ(f.tracker.listedEndpointCount(), 0U);
     f.tracker.endpointListReceived(true, {endpoint});
-    EXPECT_FALSE(f.tracker.accepts(endpointIdOf("s-1"))) << "listed again";
+    EXPECT_FALSE(f.tracker.accepts(endpointIdOf("s-1"))) << "listed again, and still banned";
     f.tracker.endpointListReceived(false, {MemberEntry{"s-1", "", "", 0, 1.0, Availability::Gone, 0s}});
     EXPECT_TRUE(f.tracker.setEndpointDisabled(endpointIdOf("s-1"), false))
-        << "known, though it is not in the list";
+        << "an endpoint that is no longer listed is known";
     EXPECT_FALSE(f.last<EndpointBanChanged>().banned);
     f.tracker.endpointListReceived(false, {endpoint});
     EXPECT_TRUE(f.tracker.accepts(endpointIdOf("s-1")));
@@ -86,14 +86,14 @@
     EXPECT_TRUE(f.tracker.accepts(endpointIdOf("s-2")));
     EXPECT_EQ(f.withheld, 1);
     f.tracker.movedByEndpoint(f.draining);
-    EXPECT_EQ(f.withheld, 1) << "of the same endpoint";
+    EXPECT_EQ(f.withheld, 1) << "the second MOVE is from the same endpoint";
     f.freshness(ListFreshness::State::Live);
     EXPECT_EQ(f.reportedBan(f.draining), false);
     EXPECT_TRUE(f.tracker.accepts(f.draining));
     EXPECT_EQ(f.withheldCleared, 1);
 }
 
-TEST(RequestTrackerWithholding, NothingIsWithheldWhileTheListIsLiveAsItIsAtTheStart) {
+TEST(RequestTrackerWithholding, NothingIsWithheldWhileTheListIsLiveWhichIsItsInitialState) {
     TrackerFixture f;
     f.tracker.start({StaleListFixture::ready("s-1"), StaleListFixture::ready("s-2")});
     f.tracker.movedByEndpoint(endpointIdOf("s-1"));
@@ -101,7 +101,7 @@
     EXPECT_EQ(f.withheld, 0);
 }
 
-// The engine must not choose the draining endpoint in between.
+// Guards against a release before the list change, after which the engine would select the draining endpoint.
 TEST(RequestTrackerWithholding, AnEndpointThatTheListRemovesIsReleasedAfterTheEngineHasTheList) {
     StaleListFixture f;
     f.tracker.movedByEndpoint(f.draining);
@@ -109,17 +109,17 @@
     ASSERT_GE(f.events.size(), 2U);
     EXPECT_TRUE(std::holds_alternative<EndpointListChanged>(f.events[f.events.size() - 2]));
     EXPECT_FALSE(f.last<EndpointBanChanged>().banned);
-    EXPECT_FALSE(f.tracker.accepts(f.draining)) << "it drains according to the list";
+    EXPECT_FALSE(f.tracker.accepts(f.draining)) << "the list says that the endpoint drains";
 }
 
-TEST(RequestTrackerWithholding, ANewerStartInTheListReleases) {
+TEST(RequestTrackerWithholding, ALaterStartTimeInTheListReleasesTheEndpoint) {
     StaleListFixture f;
     f.tracker.movedByEndpoint(f.draining);
     f.tracker.endpointListReceived(false, {MemberEntry{"s-1", "", "", 0, 1.0, Availability::Ready, 5s}});
     EXPECT_TRUE(f.tracker.accepts(f.draining));
 }
 
-TEST(RequestTrackerWithholding, AnAcceptedConnectionReleasesOnlyIfItsAttemptBeganAfterTheEvidence) {
+TEST(RequestTrackerWithholding, AnAcceptedConnectionReleasesOnlyIfItsAttemptStartedAfterTheEvidence) {
     StaleListFixture f;
     TrackedRequest early{f.tracker, f.listener, RequestAttributes{}};
     ASSERT_TRUE(f.tracker.takeDecision(early));
@@ -193,19 +193,19 @@
     f.tracker.movedByEndpoint(f.draining);
     f.tracker.setEndpointDisabled(f.draining, true);
     f.tracker.setEndpointDisabled(f.draining, false);
-    EXPECT_EQ(f.reportedBan(f.draining), true) << "still withheld";
+    EXPECT_EQ(f.reportedBan(f.draining), true) << "the endpoint is still withheld";
     EXPECT_FALSE(f.tracker.accepts(f.draining));
     f.tracker.setEndpointDisabled(f.draining, true);
     f.freshness(ListFreshness::State::Live);
-    EXPECT_EQ(f.reportedBan(f.draining), true) << "still banned";
+    EXPECT_EQ(f.reportedBan(f.draining), true) << "the endpoint is still banned";
     EXPECT_FALSE(f.tracker.accepts(f.draining));
     f.tracker.setEndpointDisabled(f.draining, false);
     EXPECT_EQ(f.reportedBan(f.draining), false);
     EXPECT_TRUE(f.tracker.accepts(f.draining));
 }
 
-// At a release between the two, the engine would forward waiting requests at once.
-TEST(RequestTrackerWithholding, TheEngineSeesNoReleaseWhileABanOrWithholdingHolds) {
+// If the engine got a release while the other cause remains, it would forward waiting requests immediately.
+TEST(RequestTrackerWithholding, TheEngineGetsNoReleaseWhileABanOrWithholdingRemains) {
     StaleListFixture f;
     f.tracker.movedByEndpoint(f.draining);
     f.tracker.setEndpointDisabled(f.draining, true);
@@ -226,14 +226,14 @@
     EXPECT_FALSE(f.tracker.accepts(f.draining));
 }
 
-TEST(RequestTrackerWithholding, IsNotExportedAsABan) {
+TEST(RequestTrackerWithholding, AWithheldEndpointIsNotExportedAsBanned) {
     StaleListFixture f;
     f.tracker.movedByEndpoint(f.draining);
     f.tracker.setEndpointDisabled(endpointIdOf("s-2"), true);
     EXPECT_EQ(f.tracker.exportState().banned, std::vector{endpointIdOf("s-2")});
 }
 
-TEST(RequestTrackerWithholding, ExpiresByTime) {
+TEST(RequestTrackerWithholding, ExpiresAfterTheEvidenceLifetime) {
     StaleListFixture f;
     f.tracker.movedByEndpoint(f.draining);
     EXPECT_EQ(f.tracker.tick(), f.clock + kEvidenceLifetime);
@@ -243,8 +243,8 @@
     EXPECT_TRUE(f.tracker.accepts(f.draining));
 }
 
-// With the real decision engine.
-TEST(RequestTrackerWithholding, TheDecisionEngineChoosesNoWithheldEndpoint) {
+// Uses the real decision engine.
+TEST(RequestTrackerWithholding, TheDecisionEngineSelectsNoWithheldEndpoint) {
     struct SilentEnvironment final : TrackerEnvironment {
         Time clock = 1000s;
         Time now() const override { return clock; }
--- a/tests/simulator_wire_test.cpp
+++ b/tests/simulator_wire_test.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter against byte layouts written out by hand, malformed frames, and the settings parser.
+// The simulator adapter with hand-written frames and with malformed frames, and the settings parser.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -45,7 +45,7 @@
 const RequestId kRequest{0x00083c615d3a91c4};
 const EndpointId kEndpoint{0x1f43074a120a};
 
-TEST(ReplyWriter, EncodesActionsInTheProtocolsLayout) {
+TEST(ReplyWriter, EncodesActionsInTheLayoutOfTheProtocol) {
     EXPECT_EQ(encoded(StartAttempt{kRequest, kEndpoint, Micros{80000}}),
               hex("46 12000000 c4913a5d613c0800 0a124a07 431f 80380100"));
     EXPECT_EQ(encoded(SetTimer{Micros{500000}, TimerToken{77}}), hex("49 08000000 20a10700 4d000000"));
@@ -79,18 +79,20 @@
     dispatcher.handleFrame(frame(1000, {selectNode(3), startNode(smallSettings())}));
     const Bytes healthChecks = dispatcher.handleFrame(
         frame(2000, {twoEndpoints(), selectNode(3), hex("02 0b000000 01 2900000000000000 0000")}));
-    // The node is selected, then there is a health check of each endpoint.
+    // The reply selects the node and starts a health check of each endpoint.
     EXPECT_EQ(healthChecks, hex("21000000 03000000 44 02000000 0300"
                                 "4c 06000000 0a124a07 431f 4c 06000000 0a9011f2 6c1f"));
     dispatcher.handleFrame(
         frame(3000, {selectNode(3), hex("08 10000000 78050000 00 0a124a07 431f 01 0000003f"),
                      hex("08 10000000 78050000 00 0a9011f2 6c1f 01 00008040")}));
-    // The second endpoint reports 4 times its capacity, so the first, at a half, is selected.
+    // The first endpoint reports a load of half its capacity, the second 4 times its capacity. The engine
+    // therefore selects the first.
     const Bytes reply = dispatcher.handleFrame(frame(
         4000, {selectNode(3), hex("03 27000000 c4913a5d613c0800 0000000000000000 00 0000 640ad2557c3bf091"
                                   "00000000 00000000 00d43000")}));
     const Bytes head = hex("2f000000 03000000 44 02000000 0300 46 12000000 c4913a5d613c0800 0a124a07 431f");
-    ASSERT_EQ(reply.size(), head.size() + 4 + 13) << "the attempt's timeout, and a timer for the request";
+    ASSERT_EQ(reply.size(), head.size() + 4 + 13)
+        << "the timeout of the attempt and a timer for the request follow";
     EXPECT_EQ(Bytes(reply.begin(), reply.begin() + static_cast<std::ptrdiff_t>(head.size())), head);
 }
 
@@ -129,7 +131,7 @@
 }
 
 TEST(SimulatorDispatcher, KeepsNodesIndependent) {
-    // Node 1 acts the same whether or not node 2, with overload of its own, runs beside it.
+    // The actions of node 1 are the same with and without a second node that sees an overloaded endpoint.
     const std::vector<Bytes> request = {selectNode(1),
                                         hex("03 27000000 0100000000000000 0000000000000000 00 0000"
                                             "0000000000000000 00000000 00000000 00d43000")};
@@ -155,16 +157,16 @@
     EXPECT_GT(run(false).size(), 8U);
 }
 
-TEST(MalformedFrame, IsRejectedWithItsOffset) {
+TEST(MalformedFrame, IsRejectedWithTheOffsetOfTheError) {
     const std::vector<Bytes> frames = {
-        hex("0c000000 01000000 0000000000000000"),     // a record is missing
-        frame(1, {hex("0e 03000000 0100")}),           // a record length past the end
+        hex("0c000000 01000000 0000000000000000"),     // a missing record
+        frame(1, {hex("0e 03000000 0100")}),           // a record length beyond the end of the frame
         frame(1, {hex("0e 03000000 010000")}),         // bytes after the last field
         frame(1, {hex("63 00000000")}),                // an unknown code
         frame(1, {hex("00 00000000")}),                // code 0
-        frame(1, {hex("0b 06000000 0000 ffffffff")}),  // a list past the end
-        frame(1, {hex("0b 06000000 1000 00000000")}),  // a list number out of range
-        frame(1, {hex("0a 00000000")}),                // stop without a node
+        frame(1, {hex("0b 06000000 0000 ffffffff")}),  // a list that exceeds its record
+        frame(1, {hex("0b 06000000 1000 00000000")}),  // a list number that is out of range
+        frame(1, {hex("0a 00000000")}),                // a stop without a selected node
         frame(1, {selectNode(1), hex("01 0c000000 0000000000000000 ff000000")}),  // settings past the end
         hex("0c000000 00000000 0000000000000000 00"),                             // bytes after the frame
     };
@@ -173,7 +175,7 @@
     }
 }
 
-TEST(MalformedFrame, IsRejectedIfAValueIsUnknown) {
+TEST(MalformedFrame, IsRejectedIfItContainsAnUnknownValue) {
     Dispatcher dispatcher;
     dispatcher.handleFrame(frame(1, {selectNode(1), startNode(smallSettings())}));
     EXPECT_THROW(
@@ -216,7 +218,7 @@
     EXPECT_EQ(node.reportFields[2], ReportField::Unknown);
 }
 
-TEST(SettingsParser, NamesTheKeyOfABadValue) {
+TEST(SettingsParser, ErrorNamesTheKeyOfAnInvalidValue) {
     const std::pair<const char*, const char*> cases[] = {
         {"{", "not JSON"},
         {"[]", "expected an object"},
--- a/tests/stable_indices_test.cpp
+++ b/tests/stable_indices_test.cpp
@@ -1,4 +1,4 @@
-// Indices of names across changes of the settings.
+// Indices of names stay the same when the settings change.
 #include "requests/stable_indices.hpp"
 
 #include <gtest/gtest.h>
@@ -9,13 +9,13 @@
 namespace ivyreel::test {
 namespace {
 
-TEST(StableIndices, AnUnknownNameHasTheIndexPastTheLast) {
+TEST(StableIndices, AnUnknownNameHasTheIndexAfterTheLast) {
     EXPECT_EQ(indexOf({"a", "b"}, "b"), 1U);
     EXPECT_EQ(indexOf({"a", "b"}, "c"), 2U);
     EXPECT_EQ(indexOf({}, "a"), 0U);
 }
 
-TEST(StableIndices, TenantsKeepTheirIndicesAndTheQuotasOfDroppedOnes) {
+TEST(StableIndices, TenantsKeepTheirIndicesAndDroppedTenantsKeepTheirQuotas) {
     NodeSettings current;
     current.tenantNames = {"one", "two"};
     current.settings.tenants = {{.quotaShare = 0.1}, {.quotaShare = 0.2}};
@@ -34,8 +34,10 @@
     const std::vector<std::string> theirs = {"a", "b", "c"};
     const std::vector<std::string> ours = {"c", "d", "a"};
     EXPECT_EQ(reorderedValues({1.0, 2.0, 3.0}, theirs, ours), (std::vector<double>{3.0, 0.0, 1.0}));
-    EXPECT_EQ(reorderedValues({1.0}, theirs, ours), (std::vector<double>{0.0, 0.0, 1.0})) << "values missing";
-    EXPECT_EQ(reorderedValues({1.0, 2.0}, {"a"}, {"a"}), std::vector<double>{1.0}) << "names missing";
+    EXPECT_EQ(reorderedValues({1.0}, theirs, ours), (std::vector<double>{0.0, 0.0, 1.0}))
+        << "fewer values than names";
+    EXPECT_EQ(reorderedValues({1.0, 2.0}, {"a"}, {"a"}), std::vector<double>{1.0})
+        << "fewer names than values";
 }
 
 }  // namespace
