--- a/tests/drain_evidence_test.cpp
+++ b/tests/drain_evidence_test.cpp
@@ -252,7 +252,7 @@
     f.now += kEvidenceLifetime - 1us;
     EXPECT_TRUE(f.evidence.expire(f.now).empty());
     f.sendMove(kEndpoint);
-    EXPECT_EQ(f.evidence.nextExpiry(), f.now + kEvidenceLifetime) << "the second MOVE confirms the evidence";
+    EXPECT_EQ(f.evidence.nextExpiry(), f.now + kEvidenceLifetime) << "confirmed";
     f.now += kEvidenceLifetime;
     EXPECT_EQ(f.evidence.expire(f.now).released, std::vector{kEndpoint});
     EXPECT_FALSE(f.evidence.withholds(kEndpoint));
--- a/tests/request_tracker_test.cpp
+++ b/tests/request_tracker_test.cpp
@@ -183,7 +183,7 @@
     EXPECT_EQ(f.last<MessageDelayMeasured>().messageMs, 23.5);
     EXPECT_EQ(f.trackedRequest.load(), 50'000);
     f.tracker.loadFigureReceived(f.trackedRequest, 5'000);
-    EXPECT_EQ(f.last<ConnectionLoadMeasured>().load, 5'000) << "the load of an idle connection";
+    EXPECT_EQ(f.last<ConnectionLoadMeasured>().load, 5'000) << "idle";
 }
 
 TEST(RequestTracker, EveryFigureIsALoadWhereEndpointsReportNoMessageDelay) {
--- a/tests/simulator_wire_test.cpp
+++ b/tests/simulator_wire_test.cpp
@@ -131,7 +131,7 @@
 }
 
 TEST(SimulatorDispatcher, KeepsNodesIndependent) {
-    // The actions of node 1 are the same with and without a second node that sees an overloaded endpoint.
+    // The actions of node 1 are the same with and without node 2, to which an endpoint reports overload.
     const std::vector<Bytes> request = {selectNode(1),
                                         hex("03 27000000 0100000000000000 0000000000000000 00 0000"
                                             "0000000000000000 00000000 00000000 00d43000")};
