--- a/src/membership/membership_watcher.cpp
+++ b/src/membership/membership_watcher.cpp
@@ -150,7 +150,7 @@
 void MembershipWatcher::cancelAll(Calls& calls, std::string_view reason) {
     for (const auto& call : calls) {
         countFailure(CallFailure::ResponseTimeout);
-        spdlog::warn("endpoint list: call cancelled after {:.2f} s without a response from discovery: {}",
+        spdlog::warn("endpoint list: discovery did not respond, call cancelled after {:.2f} s: {}",
                      inSeconds(scheduler_.now() - call->startedAt()), reason);
     }
     calls.clear();
