--- a/src/membership/membership_call.cpp
+++ b/src/membership/membership_call.cpp
@@ -39,7 +39,7 @@
 bool MembershipCall::advance() {
     if (state_ == State::Connecting) checkConnection();
     if (state_ == State::Connecting || state_ == State::Failed) return false;
-    return exchange();
+    return transferData();
 }
 
 void MembershipCall::checkConnection() {
@@ -55,7 +55,7 @@
     }
 }
 
-bool MembershipCall::exchange() {
+bool MembershipCall::transferData() {
     connection_.send(request_, sent_);
     const bool received = connection_.fill();
     try {
@@ -63,7 +63,7 @@
     } catch (const std::exception& error) {
         fail(CallFailure::MalformedResponse, error.what());
     }
-    if (state_ != State::Failed) checkEnd(received);
+    if (state_ != State::Failed) checkForEnd(received);
     return received;
 }
 
@@ -75,11 +75,12 @@
         return;
     }
     readBody();
-    if (body_.size() > kMaxMessageBytes) throw MembershipUpdateError("message from discovery is too long");
+    if (body_.size() > kMaxMessageBytes)
+        throw MembershipUpdateError("message from discovery is longer than 16 MiB");
 }
 
-// Messages that were received together with the end are read first.
-void MembershipCall::checkEnd(bool received) {
+// Called after readResponse(), so that messages that arrived together with the end are not lost.
+void MembershipCall::checkForEnd(bool received) {
     const bool watching = state_ == State::Watching;
     const CallFailure kind = watching ? CallFailure::WatchEnded : CallFailure::Overloaded;
     const std::string what = watching ? "the watch" : "the call";
@@ -90,7 +91,7 @@
     }
 }
 
-// Takes the complete objects of the body, and the empty lines between them, which are heartbeats.
+// Extracts the complete JSON objects from the body, and the empty lines between them, which are heartbeats.
 void MembershipCall::readBody() {
     std::size_t begin = 0;
     for (;;) {
--- a/src/requests/request_tracker.cpp
+++ b/src/requests/request_tracker.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Even an idle connection causes about a tenth of its usual load. A figure below this share of it is no load.
+// An idle connection causes about a tenth of its usual load. A figure below this share of the usual load is
+// therefore not a load.
 constexpr double kMinimumLoadShare = 0.03;
 
 constexpr double kMicrosPerMilli = 1e3;
@@ -27,7 +28,7 @@
 // ---- life cycle ----
 
 void RequestTracker::start(const std::vector<MemberEntry>& knownEndpoints) {
-    handle(Started{});
+    sendToEngine(Started{});
     applyListChange(EndpointListKind::Cached, knownEndpoints);
     recordListEntries(true, knownEndpoints);
 }
@@ -36,13 +37,13 @@
     configuredClasses_ = {settings.classNames.begin(), settings.classNames.end()};
     keepIndices(settings, settings_);
     settings_ = std::move(settings);
-    handle(SettingsChanged{settings_.settings});
+    sendToEngine(SettingsChanged{settings_.settings});
 }
 
 Time RequestTracker::tick() {
     const Time now = environment_.now();
     while (const auto token = timers_.takeDue(now)) {
-        handle(TimerExpired{*token});
+        sendToEngine(TimerExpired{*token});
     }
     applyWithholding(drainEvidence_.expire(now));
     return std::min(timers_.nextDue(), drainEvidence_.nextExpiry());
@@ -56,7 +57,7 @@
 void RequestTracker::importState(ExportedState state) {
     std::vector<double>& loads = state.learnedState.fleet.meanLoadByClass;
     loads = reorderedValues(loads, state.classNames, settings_.classNames);
-    handle(LearnedStateInherited{std::move(state.learnedState)});
+    sendToEngine(LearnedStateInherited{std::move(state.learnedState)});
     for (const EndpointId endpoint : state.listed) {
         endpoints_.add(endpoint);
     }
@@ -68,9 +69,9 @@
 // ---- requests ----
 
 std::optional<Decision> RequestTracker::takeDecision(TrackedRequest& request) {
-    if (!request.inEngine_ && !request.decision_) {
+    if (!request.knownToEngine_ && !request.decision_) {
         addRequest(request);
-        handle(request.arrival_);
+        sendToEngine(request.arrival_);
     }
     const std::optional<Decision> decision = std::exchange(request.decision_, std::nullopt);
     const auto* forward = decision ? std::get_if<ForwardTo>(&*decision) : nullptr;
@@ -88,8 +89,8 @@
 }
 
 void RequestTracker::abandon(TrackedRequest& request) {
-    if (!request.inEngine_) return;
-    handle(ClientDisconnected{request.arrival_.request});
+    if (!request.knownToEngine_) return;
+    sendToEngine(ClientDisconnected{request.arrival_.request});
     removeRequest(request);
     deliver(request, RequestFailure{});
 }
@@ -104,12 +105,12 @@
 }
 
 void RequestTracker::addRequest(TrackedRequest& request) {
-    request.inEngine_ = true;
+    request.knownToEngine_ = true;
     requests_[static_cast<std::uint64_t>(request.arrival_.request)] = &request;
 }
 
 void RequestTracker::removeRequest(TrackedRequest& request) {
-    request.inEngine_ = false;
+    request.knownToEngine_ = false;
     requests_.erase(static_cast<std::uint64_t>(request.arrival_.request));
 }
 
@@ -139,52 +140,53 @@
     request.endpoint_ = endpoint;
     request.attempts_ = 1;
     addRequest(request);
-    handle(ConnectionResumed{request.arrival_, endpoint});
+    sendToEngine(ConnectionResumed{request.arrival_, endpoint});
 }
 
 void RequestTracker::connectionEstablished(TrackedRequest& request, Micros elapsed) {
-    handle(
+    sendToEngine(
         ConnectionEstablished{request.arrival_.request, request.attemptIndex(), request.endpoint_, elapsed});
-    recordEvidence(ServerAcceptedConnection{request.endpoint_, request.attemptStartedAt_});
+    recordEvidence(EndpointAcceptedConnection{request.endpoint_, request.attemptStartedAt_});
 }
 
 void RequestTracker::attemptEnded(TrackedRequest& request, Outcome outcome, Micros elapsed,
                                   const std::optional<LoadReport>& report) {
-    // Evidence first: the decision module's next attempt must not be at an endpoint that has just shown that
-    // it drains.
+    // The evidence is recorded before the event is sent, so that the decision engine's next attempt is not at
+    // an endpoint for which there is now sufficient drain evidence.
     if (outcome == Outcome::Rejected) {
-        recordEvidence(ServerRefusedConnection{request.endpoint_, report, elapsed, request.attemptTimeout_});
+        recordEvidence(
+            EndpointRejectedConnection{request.endpoint_, report, elapsed, request.attemptTimeout_});
     } else {
         recordLoad(request.endpoint_, report);
     }
-    handle(AttemptEnded{request.arrival_.request, request.attemptIndex(), request.endpoint_, outcome, elapsed,
-                        false, report});
+    sendToEngine(AttemptEnded{request.arrival_.request, request.attemptIndex(), request.endpoint_, outcome,
+                              elapsed, false, report});
 }
 
 void RequestTracker::connectionEnded(TrackedRequest& request, Outcome outcome,
                                      const std::optional<LoadReport>& report) {
-    if (!request.inEngine_) return;
+    if (!request.knownToEngine_) return;
     recordLoad(request.endpoint_, report);
-    handle(AttemptEnded{request.arrival_.request, request.attemptIndex(), request.endpoint_, outcome,
-                        Micros{0}, true, report});
+    sendToEngine(AttemptEnded{request.arrival_.request, request.attemptIndex(), request.endpoint_, outcome,
+                              Micros{0}, true, report});
     removeRequest(request);
 }
 
-// Endpoints use one line for both figures. Where the settings announce both, a figure far below the expected
-// load is a latency in milliseconds. Taken for a load, it would make the connections of a slow endpoint look
-// idle, and the node would send it more of them.
+// Endpoints report loads and message delays on the same line. If the settings announce both, a figure far
+// below the expected load is a delay in milliseconds. If a delay counted as a load, the connections of a slow
+// endpoint would look idle, and the endpoint would get more connections.
 void RequestTracker::loadFigureReceived(TrackedRequest& request, double figure) {
     if (settings_.reportsMessageDelay && figure < kMinimumLoadShare * request.expectedLoad_) {
-        handle(MessageDelayMeasured{request.arrival_.request, request.endpoint_, figure});
+        sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, figure});
         return;
     }
     request.arrival_.loadHint = figure;
-    handle(ConnectionLoadMeasured{request.arrival_.request, request.endpoint_, figure});
+    sendToEngine(ConnectionLoadMeasured{request.arrival_.request, request.endpoint_, figure});
 }
 
 void RequestTracker::messageDelayMeasured(TrackedRequest& request, Micros delay) {
     const double delayMs = static_cast<double>(delay.count()) / kMicrosPerMilli;
-    handle(MessageDelayMeasured{request.arrival_.request, request.endpoint_, delayMs});
+    sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, delayMs});
 }
 
 // ---- reports on endpoints ----
@@ -192,22 +194,22 @@
 void RequestTracker::healthCheckCompleted(EndpointId endpoint, Outcome outcome, Micros elapsed,
                                           const std::optional<LoadReport>& report) {
     recordLoad(endpoint, report);
-    handle(HealthCheckCompleted{endpoint, outcome, elapsed, report});
+    sendToEngine(HealthCheckCompleted{endpoint, outcome, elapsed, report});
 }
 
 void RequestTracker::movedByEndpoint(EndpointId endpoint) {
-    recordEvidence(ServerSentMove{endpoint});
+    recordEvidence(EndpointSentMove{endpoint});
 }
 
-// The decision module has the list before withholding ends: it must not choose an endpoint that the list has
-// just removed.
+// The decision engine gets the list before an endpoint is released from withholding. Otherwise it could
+// select an endpoint that the list has just removed.
 void RequestTracker::endpointListReceived(bool full, const std::vector<MemberEntry>& entries) {
     applyListChange(full ? EndpointListKind::Full : EndpointListKind::Delta, entries);
     recordListEntries(full, entries);
 }
 
 void RequestTracker::endpointListFailed() {
-    handle(EndpointListChanged{EndpointListKind::Failed, {}});
+    sendToEngine(EndpointListChanged{EndpointListKind::Failed, {}});
 }
 
 void RequestTracker::setListFreshness(const ListFreshness& freshness) {
@@ -228,9 +230,10 @@
     updateBan(endpoint);
 }
 
-// The decision module knows one kind of ban, whatever its cause.
+// The decision engine does not distinguish between operator bans and withholding.
 void RequestTracker::updateBan(EndpointId endpoint) {
-    handle(EndpointBanChanged{endpoint, endpoints_.isBanned(endpoint) || drainEvidence_.withholds(endpoint)});
+    sendToEngine(
+        EndpointBanChanged{endpoint, endpoints_.isBanned(endpoint) || drainEvidence_.withholds(endpoint)});
 }
 
 void RequestTracker::recordEvidence(const DrainEvent& event) {
@@ -238,13 +241,13 @@
 }
 
 void RequestTracker::recordLoad(EndpointId endpoint, const std::optional<LoadReport>& report) {
-    if (report) recordEvidence(ServerReportedLoad{endpoint, *report});
+    if (report) recordEvidence(EndpointReportedLoad{endpoint, *report});
 }
 
 void RequestTracker::recordListEntries(bool full, const std::vector<MemberEntry>& entries) {
     ListEntriesReceived received{full, {}};
     for (const MemberEntry& entry : entries) {
-        received.servers.push_back({endpointIdOf(entry.name), entry.availability, entry.started});
+        received.entries.push_back({endpointIdOf(entry.name), entry.availability, entry.started});
     }
     recordEvidence(received);
 }
@@ -275,21 +278,21 @@
     return longest;
 }
 
-// Half of the longest advice that the settings allow.
+// Half of the longest retry delay that the settings allow.
 Micros RequestTracker::retryAfterAdvice() const {
     const RequestLimits& limits = settings_.settings.limits;
     return limits.sendRetryAfter ? limits.maxRetryAfter / 2 : Micros{0};
 }
 
-// ---- the decision module ----
+// ---- the decision engine ----
 
 void RequestTracker::applyListChange(EndpointListKind kind, const std::vector<MemberEntry>& entries) {
     const EndpointListChanged change = toEndpointListChanged(kind, entries, settings_);
     endpoints_.update(change);
-    handle(change);
+    sendToEngine(change);
 }
 
-void RequestTracker::handle(const Event& event) {
+void RequestTracker::sendToEngine(const Event& event) {
     std::vector<Action> actions;
     engine_->handle(environment_.now(), event, actions);
     for (const Action& action : actions) {
@@ -304,7 +307,7 @@
         },
         [this](const RejectRequest& reject) { deliver(reject.request, Rejection{reject.retryAfter}); },
         [this](const FailRequest& fail) { deliver(fail.request, RequestFailure{}); },
-        [](const CancelAttempt&) {},  // the decision that comes with it tells the owner to
+        [](const CancelAttempt&) {},  // the owner cancels the attempt because of the accompanying decision
         [this](const MigrateConnection& migrate) { requestMigration(migrate.request); },
         [this](const StartHealthCheck& start) { environment_.startHealthCheck(start.endpoint); },
         [this](const WatchEndpoints&) { environment_.watchList(); },
--- a/src/simulator/dispatcher.hpp
+++ b/src/simulator/dispatcher.hpp
@@ -1,5 +1,5 @@
-// Answers the simulator's frames: one decision engine per node id, its events in, its actions out. Nothing is
-// shared between nodes but the numbered endpoint lists of the protocol.
+// Handles the simulator's frames: passes the events of each node to the node's decision engine and replies
+// with the engine's actions. Nodes share only the numbered endpoint lists of the protocol.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,13 @@
 
 class Dispatcher {
   public:
-    using Factory = std::function<std::unique_ptr<DecisionEngine>(Settings)>;
+    using EngineFactory = std::function<std::unique_ptr<DecisionEngine>(Settings)>;
 
-    explicit Dispatcher(Factory factory = makeDecisionEngine) : factory_(std::move(factory)) {}
+    explicit Dispatcher(EngineFactory makeEngine = makeDecisionEngine) : makeEngine_(std::move(makeEngine)) {}
 
-    // Handles all records of one whole frame and returns the bytes of the reply. Throws WireError, or
-    // SettingsError for the settings of a node.
-    std::vector<std::uint8_t> answer(std::span<const std::uint8_t> frame);
+    // Handles all records of one complete frame and returns the bytes of the reply. Throws WireError for a
+    // malformed frame, and SettingsError for invalid settings of a node.
+    std::vector<std::uint8_t> handleFrame(std::span<const std::uint8_t> frame);
 
   private:
     using NodeId = std::uint16_t;
@@ -38,27 +38,28 @@
         std::unique_ptr<DecisionEngine> engine;
     };
 
-    // What holds for the records of one frame.
-    struct Batch {
+    // State that the records of one frame share.
+    struct FrameContext {
         Time now{0};
-        std::optional<NodeId> node;  // to which the next records belong
+        std::optional<NodeId> node;  // to which the following records belong
         ReplyWriter reply;
         std::vector<Action> actions;  // of the last event
     };
 
-    void handleRecord(Batch& batch, FrameReader& reader);
-    void dispatch(Batch& batch, EventCode code, FrameReader& fields);
-    void startNode(Batch& batch, FrameReader& fields);
-    void stopNode(const Batch& batch, const FrameReader& fields);
-    Node& runningNode(const Batch& batch, const FrameReader& fields);
-    static void deliver(Batch& batch, Node& node, const Event& event);
+    void handleRecord(FrameContext& context, FrameReader& reader);
+    void dispatch(FrameContext& context, EventCode code, FrameReader& fields);
+    void startNode(FrameContext& context, FrameReader& fields);
+    void stopNode(const FrameContext& context, const FrameReader& fields);
+    Node& runningNode(const FrameContext& context, const FrameReader& fields);
+    static void deliver(FrameContext& context, Node& node, const Event& event);
 
-    Factory factory_;
+    EngineFactory makeEngine_;
     std::map<NodeId, Node> nodes_;
     EndpointLists endpointLists_;
 };
 
-// Answers frames until the input ends. Returns the exit code of the process.
+// Handles frames until the input ends. Returns the exit code of the process: 0 at the end of the input, 1
+// after an error, which is written to `errors`.
 int serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
 }  // namespace ivyreel::simulator
--- a/tests/discovery_load_test.cpp
+++ b/tests/discovery_load_test.cpp
@@ -1,5 +1,5 @@
-// The load of a whole fleet on a discovery that cannot serve all nodes at once, and the time until all nodes
-// have the list. Real sockets, virtual time.
+// The load of a fleet on a discovery that cannot serve all nodes at the same time, and the time until all
+// nodes have the list. The tests use real sockets and virtual time.
 #include "discovery_load.hpp"
 
 #include <gtest/gtest.h>
@@ -15,47 +15,48 @@
 namespace ivyreel {
 namespace {
 
-// Discovery serves one call of each follower in N/rate. A queued call then waits for the waiting limit of 3 s
-// at most, and 2 s are left for backoff: 4 s + 3 s + 2 s = 9 s, or 13 s where N/rate is 8 s.
-constexpr Micros kBackoffs = 2s;
+// Discovery serves one call of each of N followers in N/rate. A call is queued for at most the maximum queue
+// time of 3 s, and 2 s are allowed for backoff: 4 s + 3 s + 2 s = 9 s, or 13 s if N/rate is 8 s.
+constexpr Micros kBackoffAllowance = 2s;
 Micros listDeadline(const DiscoveryLoad& load) {
-    return load.serviceOfAll() + kWaitingLimit + kBackoffs;
+    return load.timeToServeAll() + kMaxQueueTime + kBackoffAllowance;
 }
 
 constexpr Micros kResponseDelay = 1s;
-// A node has to apply a change within 6 s after discovery was reachable. A call without a response may come
-// after the longest queue time, N/rate + the waiting limit; with 6 s in place of the backoff: 13 s, or 17 s.
+// A node must apply a change within 6 s after discovery is reachable. A call without a response may follow
+// the longest queue time, which is N/rate + the maximum queue time. With 6 s instead of the backoff, the
+// deadline is 13 s, or 17 s if N/rate is 8 s.
 constexpr Micros kPropagationDeadline = 6s;
 Micros listDeadlineWithUnansweredCalls(const DiscoveryLoad& load) {
-    return load.serviceOfAll() + kWaitingLimit + kPropagationDeadline;
+    return load.timeToServeAll() + kMaxQueueTime + kPropagationDeadline;
 }
 
-// The heartbeat interval of 2 s and some slack.
+// The heartbeat interval of 2 s plus a margin.
 constexpr Micros kHeartbeatTimeoutDetection = 2500ms;
 
 class DiscoveryLoadTest : public testing::TestWithParam<FleetLoad> {};
 
 std::string loadName(const testing::TestParamInfo<FleetLoad>& info) {
     return std::to_string(info.param.followers) + "FollowersServedIn" +
-           std::to_string(info.param.serviceOfAll / 1s) + "Seconds";
+           std::to_string(info.param.timeToServeAll / 1s) + "Seconds";
 }
 
-// Where discovery needs 8 s for all calls, the queue cannot hold the calls of all followers.
+// If discovery takes 8 s to serve all calls, the queue cannot hold the calls of all followers.
 INSTANTIATE_TEST_SUITE_P(Fleets, DiscoveryLoadTest,
                          testing::Values(FleetLoad{32, 4s}, FleetLoad{350, 4s}, FleetLoad{32, 8s},
                                          FleetLoad{350, 8s}),
                          loadName);
 
-// All watches are disconnected at the time of a change, which all followers have to get within the bound.
+// Disconnects all watches and changes the list. All followers must receive the change within the bound.
 Task<void> runDisconnectedWatches(DiscoveryLoad& load, Micros bound) {
-    const Time broken = load.now();
+    const Time disconnectedAt = load.now();
     load.discovery().disconnectWatches();
     const std::uint64_t version = load.discovery().writeEntry("server-1", "leaving");
-    co_await load.waitUntilAllHave(version);
-    load.expectAllHaveList(load.discovery(), version, broken, bound);
+    co_await load.waitUntilAllReceived(version);
+    load.expectAllReceived(load.discovery(), version, disconnectedAt, bound);
 }
 
-TEST_P(DiscoveryLoadTest, AllWatchesBreakAtOnce) {
+TEST_P(DiscoveryLoadTest, AllWatchesDisconnectedAtTheSameTime) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
@@ -82,9 +83,9 @@
     co_await load.sleep(4s);
     load.discovery().resetCounts();
     load.discovery().setOutage(Outage::None);
-    const Time back = load.now();
-    co_await load.waitUntilAllHave(version);
-    load.expectAllHaveList(load.discovery(), version, back, listDeadline(load));
+    const Time recoveredAt = load.now();
+    co_await load.waitUntilAllReceived(version);
+    load.expectAllReceived(load.discovery(), version, recoveredAt, listDeadline(load));
 }
 
 TEST_P(DiscoveryLoadTest, OutageWithStatus503) {
@@ -113,32 +114,33 @@
     }));
 }
 
-// No heartbeats until the followers detect it: then all of them call at once.
-TEST_P(DiscoveryLoadTest, AllHeartbeatsStopAtOnce) {
+// Heartbeats stop until the followers detect the timeout. All followers then call at the same time.
+TEST_P(DiscoveryLoadTest, AllHeartbeatsStopAtTheSameTime) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
         DiscoveryFaults faults;
         faults.heartbeatsStopped = true;
         l.discovery().setFaults(faults);
-        const Time silent = l.now();
+        const Time silentSince = l.now();
         const std::uint64_t version = l.discovery().writeEntry("server-1", "leaving");
         co_await l.waitUntil([&l] { return l.discovery().counts().received > 0; });
-        EXPECT_LE(l.now() - silent, kHeartbeatTimeoutDetection);
+        EXPECT_LE(l.now() - silentSince, kHeartbeatTimeoutDetection);
         const Time firstCall = l.discovery().counts().receivedAt.at(0);
         l.discovery().setFaults({});
-        co_await l.waitUntilAllHave(version);
-        l.expectAllHaveList(l.discovery(), version, firstCall, listDeadline(l));
+        co_await l.waitUntilAllReceived(version);
+        l.expectAllReceived(l.discovery(), version, firstCall, listDeadline(l));
     }));
 }
 
-// The change is made while the calls are queued: the first message of those served later already contains it.
+// The list changes while calls are queued. The first message of the calls that are served later must contain
+// the change.
 TEST_P(DiscoveryLoadTest, ChangeDuringQueueTimeIsInFirstMessage) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
         const std::uint64_t updatesBefore = l.firstFollower().metrics().listChanges;
-        const Time broken = l.now();
+        const Time disconnectedAt = l.now();
         l.discovery().disconnectWatches();
         co_await l.sleep(1s);
         std::vector<Follower*> waiting;
@@ -147,8 +149,8 @@
         }
         EXPECT_FALSE(waiting.empty());
         const std::uint64_t version = l.discovery().writeEntry("server-1", "leaving");
-        co_await l.waitUntilAllHave(version);
-        l.expectAllHaveList(l.discovery(), version, broken, listDeadline(l));
+        co_await l.waitUntilAllReceived(version);
+        l.expectAllReceived(l.discovery(), version, disconnectedAt, listDeadline(l));
         const auto informedByFirstMessage =
             std::count_if(waiting.begin(), waiting.end(), [version, updatesBefore](const Follower* follower) {
                 const auto reception = follower->receptionOf(version);
@@ -158,7 +160,7 @@
     }));
 }
 
-TEST_P(DiscoveryLoadTest, AllSwitchToAnotherDiscoveryAtOnce) {
+TEST_P(DiscoveryLoadTest, AllSwitchToAnotherDiscoveryAtTheSameTime) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         OverloadedDiscovery& other = l.otherDiscovery();
@@ -167,10 +169,10 @@
         other.writeEntry("server-1", "active");
         other.writeEntry("server-2", "active");
         const std::uint64_t version = other.writeEntry("server-1", "leaving");
-        const Time moved = l.now();
+        const Time movedAt = l.now();
         l.fleet().moveTo(other.address());
-        co_await l.waitUntilAllHave(version);
-        l.expectAllHaveList(other, version, moved, listDeadline(l));
+        co_await l.waitUntilAllReceived(version);
+        l.expectAllReceived(other, version, movedAt, listDeadline(l));
     }));
 }
 
@@ -179,9 +181,9 @@
 constexpr FleetLoad kOneFollower{1, 4s};
 constexpr Micros kPushGrace = 100ms;
 constexpr Micros kReopenDeadline = 20ms;
-constexpr Micros kStableWatchAge = 1200ms;  // long enough to be reopened at once when disconnected
+constexpr Micros kStableWatchAge = 1200ms;  // long enough for a watch to be reopened without a delay
 
-Task<void> startPushed(DiscoveryLoad& load) {
+Task<void> startWithPushedList(DiscoveryLoad& load) {
     load.firstFollower().watcher().setPushGrace(kPushGrace);
     load.discovery().writeEntry("server-1", "active");
     load.fleet().start();
@@ -190,34 +192,34 @@
     load.discovery().resetCounts();
 }
 
-TEST(PushedListTest, DisconnectedWatchIsReopenedAtOnce) {
+TEST(PushedListTest, DisconnectedWatchIsReopenedImmediately) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
-        co_await startPushed(l);
-        const Time broken = l.now();
+        co_await startWithPushedList(l);
+        const Time disconnectedAt = l.now();
         l.discovery().disconnectWatches();
         const std::uint64_t version = l.discovery().writeEntry("server-1", "leaving");
-        co_await l.waitUntilAllHave(version);
-        const auto known = l.fleet().allHadItAt(version);
-        EXPECT_TRUE(known && *known - broken <= kReopenDeadline);
+        co_await l.waitUntilAllReceived(version);
+        const auto receivedAt = l.fleet().timeAllReceived(version);
+        EXPECT_TRUE(receivedAt && *receivedAt - disconnectedAt <= kReopenDeadline);
         EXPECT_EQ(l.discovery().counts().received, 1U);
     }));
 }
 
-// Whenever discovery is back, the next call is due within half the grace period.
+// After an outage of any length, the next call must follow within half the grace period.
 TEST(PushedListTest, RefusedConnectionIsRetriedWithinHalfTheGrace) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
-        co_await startPushed(l);
+        co_await startWithPushedList(l);
         for (const Micros outage : {Micros{30ms}, Micros{510ms}, Micros{3s}, Micros{20s}}) {
             l.discovery().setOutage(Outage::Refused);
             const std::uint64_t version = l.discovery().writeEntry("server-1", "leaving");
             co_await l.sleep(outage);
             l.discovery().setOutage(Outage::None);
-            const Time back = l.now();
-            co_await l.waitUntilAllHave(version);
-            const auto known = l.fleet().allHadItAt(version);
-            EXPECT_TRUE(known && *known - back <= kPushGrace / 2 + kPollInterval)
+            const Time recoveredAt = l.now();
+            co_await l.waitUntilAllReceived(version);
+            const auto receivedAt = l.fleet().timeAllReceived(version);
+            EXPECT_TRUE(receivedAt && *receivedAt - recoveredAt <= kPushGrace / 2 + kPollInterval)
                 << "after an outage of " << inSeconds(outage) << " s";
             co_await l.sleep(kStableWatchAge);
         }
@@ -228,7 +230,7 @@
 
 constexpr FleetLoad kPartOfFleet{32, 4s};
 constexpr std::uint32_t kFleetSize = 350;
-constexpr Micros kMinSpread = 250ms;  // of the 500 ms over which the first calls are spread
+constexpr Micros kMinSpread = 250ms;  // the first calls are spread over 500 ms
 constexpr Micros kSlowResponse = 5s;  // longer than the usual hedging delay
 
 TEST(CallTimingTest, FirstCallsToAnotherDiscoveryAreSpread) {
@@ -248,11 +250,11 @@
     }));
 }
 
-TEST(CallTimingTest, QueuedCallIsKeptUntilWaitingLimit) {
+TEST(CallTimingTest, QueuedCallStaysOpenForMaxQueueTime) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         DiscoveryFaults slow;
-        slow.responseDelay = kWaitingLimit;
+        slow.responseDelay = kMaxQueueTime;
         l.discovery().setFaults(slow);
         l.discovery().writeEntry("server-1", "active");
         l.fleet().start();
@@ -275,7 +277,7 @@
             << "the response time is not known yet";
         co_await l.sleep(kStableWatchAge);
         l.discovery().disconnectWatches();
-        co_await l.waitUntilAllHave(l.discovery().writeEntry("server-1", "leaving"));
+        co_await l.waitUntilAllReceived(l.discovery().writeEntry("server-1", "leaving"));
         EXPECT_TRUE(l.fleet().allLive());
         EXPECT_EQ(l.firstFollower().metrics().listAdditionalCalls, 1U);
     }));
@@ -284,13 +286,14 @@
 // ---- invalid responses ----
 
 constexpr Micros kQuietPeriod = 15s;
-constexpr Micros kUselessDelay = 10s;  // beyond any timeout
+constexpr Micros kDelayBeyondTimeouts = 10s;
 
-// One call fails: one line in the log contains this text, and the next call gets the list.
+// Checks that one call failed: the log has one line, which contains `text`, and the next call received the
+// list.
 void expectOneLogLineAndList(DiscoveryLoad& load, Time since, std::uint64_t version,
                              const std::string& text) {
-    const auto known = load.fleet().allHadItAt(version);
-    EXPECT_TRUE(known && *known - since <= kPropagationDeadline);
+    const auto receivedAt = load.fleet().timeAllReceived(version);
+    EXPECT_TRUE(receivedAt && *receivedAt - since <= kPropagationDeadline);
     const std::vector<std::string> lines = load.log().lines();
     EXPECT_EQ(lines.size(), 1U);
     for (const std::string& line : lines) {
@@ -303,7 +306,7 @@
     load.discovery().setNextResponse(std::move(response));
     const Time start = load.now();
     load.fleet().start();
-    co_await load.waitUntilAllHave(load.discovery().version());
+    co_await load.waitUntilAllReceived(load.discovery().version());
     co_await load.sleep(kQuietPeriod);
     expectOneLogLineAndList(load, start, load.discovery().version(), text);
 }
@@ -321,7 +324,7 @@
         [](DiscoveryLoad& l) { return runBadResponse(l, "HTTP/1.1 200 OK\r\nTransfer-Enc", "discovery"); }));
 }
 
-// Without a message the watch is not open.
+// A watch is open only after its first message.
 TEST(DiscoveryBadInputTest, HeaderWithoutMessage) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) {
@@ -335,14 +338,14 @@
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         l.discovery().writeEntry("server-1", "active");
         DiscoveryFaults slow;
-        slow.responseDelay = kUselessDelay;
+        slow.responseDelay = kDelayBeyondTimeouts;
         l.discovery().setFaults(slow);
         const Time start = l.now();
         l.fleet().start();
         co_await l.waitUntil([&l] { return l.discovery().counts().received > 0; });
         co_await l.sleep(1s);
         l.discovery().setFaults({});
-        co_await l.waitUntilAllHave(l.discovery().version());
+        co_await l.waitUntilAllReceived(l.discovery().version());
         co_await l.sleep(kQuietPeriod);
         expectOneLogLineAndList(l, start, l.discovery().version(), "discovery");
         EXPECT_EQ(l.discovery().counts().respondedLate, 1U);
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter as a process over a pipe.
+// The simulator adapter as a process that is connected by a pipe.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -47,7 +47,7 @@
     return result;
 }
 
-TEST(SimulatorProcess, AnswersEveryFrameAndExitsAtEndOfInput) {
+TEST(SimulatorProcess, RepliesToEveryFrameAndExitsAtEndOfInput) {
     const ProcessResult result =
         runSimulator(frame(1, {}) + frame(2, {selectNode(1), startNode(smallSettings())}) + frame(3, {}));
     EXPECT_EQ(result.exitCode, 0);
@@ -63,14 +63,14 @@
                                   hex("02 0b000000 01 2900000000000000 0000")};
     for (std::uint64_t id = 1; id <= 25'000; ++id) {
         Bytes fields;
-        put(fields, id, 8);
-        put(fields, 0, 8);
-        put(fields, 0, 1);
-        put(fields, 0, 2);
-        put(fields, 0, 8);
-        put(fields, 0, 4);
-        put(fields, 0, 4);
-        put(fields, 3'200'000, 4);
+        appendInteger(fields, id, 8);
+        appendInteger(fields, 0, 8);
+        appendInteger(fields, 0, 1);
+        appendInteger(fields, 0, 2);
+        appendInteger(fields, 0, 8);
+        appendInteger(fields, 0, 4);
+        appendInteger(fields, 0, 4);
+        appendInteger(fields, 3'200'000, 4);
         records.push_back(record(3, fields));
     }
     const Bytes input = frame(1000, records);
