--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -54,7 +54,7 @@
 }
 
 // `path`: what follows the prefix, "ID/disable" or "ID/enable".
-AdminResponse handleEndpointCall(AdminDelegate& node, std::string_view method, std::string_view path) {
+AdminResponse handleEndpointRequest(AdminDelegate& node, std::string_view method, std::string_view path) {
     const std::size_t slash = path.rfind('/');
     const std::string_view verb = slash == std::string_view::npos ? "" : path.substr(slash + 1);
     const bool disable = verb == "disable";
@@ -68,10 +68,10 @@
 
 }  // namespace
 
-AdminResponse handleAdminCall(AdminDelegate& node, std::string_view method, std::string_view target) {
+AdminResponse handleAdminRequest(AdminDelegate& node, std::string_view method, std::string_view target) {
     const std::string_view path = target.substr(0, target.find('?'));
     if (path.starts_with(kEndpointPrefix))
-        return handleEndpointCall(node, method, path.substr(kEndpointPrefix.size()));
+        return handleEndpointRequest(node, method, path.substr(kEndpointPrefix.size()));
     if (path != kReadyPath && path != kMetricsPath) return {kNotFound, "no such path\n"};
     if (method != "GET") return {kMethodNotAllowed, "use GET\n", "GET"};
     if (path == kMetricsPath) return {kOk, node.metricsText()};
--- a/src/admin/admin_api.hpp
+++ b/src/admin/admin_api.hpp
@@ -29,7 +29,7 @@
     std::string_view allowedMethod = {};  // of the path, with status 405
 };
 
-AdminResponse handleAdminCall(AdminDelegate& node, std::string_view method, std::string_view target);
+AdminResponse handleAdminRequest(AdminDelegate& node, std::string_view method, std::string_view target);
 
 // The response as HTTP/1.1, for a connection that ends with it.
 std::string serialize(const AdminResponse& response);
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -28,7 +28,7 @@
         : signal(scheduler), connection(Socket{signal, descriptor}) {}
 
     // Reads more of the call. True once there is a response to it.
-    bool receiveCall(AdminDelegate& node);
+    bool receiveRequest(AdminDelegate& node);
     // Sends more of the response.
     void sendResponse();
     // Whether the caller has gone, or has the response and has closed its side too.
@@ -36,20 +36,21 @@
 
     Signal signal;
     Connection connection;
-    HttpRequestParser call;
-    std::string callBody;  // ignored
+    HttpRequestParser request;
+    std::string requestBody;  // ignored
     std::string response;
     std::size_t sent = 0;
     bool responseSent = false;
     bool evicted = false;
 };
 
-bool AdminServer::Session::receiveCall(AdminDelegate& node) {
+bool AdminServer::Session::receiveRequest(AdminDelegate& node) {
     if (connection.fill()) signal.raise();  // there may be more than a buffer holds
     if (!response.empty()) return true;
     try {
-        call.take(connection.in, callBody);
-        if (call.complete()) response = serialize(handleAdminCall(node, call.method(), call.target()));
+        request.take(connection.in, requestBody);
+        if (request.complete())
+            response = serialize(handleAdminRequest(node, request.method(), request.target()));
     } catch (const std::exception& error) {
         response = serialize({400, std::string(error.what()) + "\n"});
     }
@@ -69,11 +70,12 @@
     return connection.broken || (connection.ended && nothingToSend);
 }
 
-AdminServer::AdminServer(Scheduler& scheduler, AdminDelegate& node, const Address& listen, int listening)
+AdminServer::AdminServer(Scheduler& scheduler, AdminDelegate& node, const Address& listen,
+                         int inheritedListener)
     : scheduler_(scheduler),
       node_(node),
       signal_(scheduler),
-      listener_(Socket::listenOn(signal_, listen, listening)) {}
+      listener_(Socket::listenOn(signal_, listen, inheritedListener)) {}
 
 void AdminServer::setAccepting(bool accepting) {
     accepting_ = accepting;
@@ -82,12 +84,12 @@
 
 Task<void> AdminServer::accept() {
     for (;;) {
-        const Time retryAt = acceptWaiting();
+        const Time retryAt = acceptPending();
         co_await signal_.wait(retryAt);
     }
 }
 
-Time AdminServer::acceptWaiting() {
+Time AdminServer::acceptPending() {
     while (accepting_) {
         if (sessions_.size() >= kMaxSessions) {
             evictOldestSession();
@@ -122,7 +124,7 @@
     const auto position = sessions_.insert(sessions_.end(), &session);
     const Time deadline = scheduler_.now() + kSessionTimeout;
     for (;;) {
-        if (session.receiveCall(node_)) session.sendResponse();
+        if (session.receiveRequest(node_)) session.sendResponse();
         if (session.finished() || session.evicted || scheduler_.now() >= deadline) break;
         co_await session.signal.wait(deadline);
     }
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -19,8 +19,8 @@
     // Sessions and the listener.
     static constexpr std::size_t kMaxDescriptors = kMaxSessions + 1;
 
-    // `listening`: a descriptor that listens at the address already; -1: none.
-    AdminServer(Scheduler& scheduler, AdminDelegate& node, const Address& listen, int listening = -1);
+    // `inheritedListener`: a descriptor that listens at the address already; -1: none.
+    AdminServer(Scheduler& scheduler, AdminDelegate& node, const Address& listen, int inheritedListener = -1);
 
     Address address() const { return listener_.local(); }
     int listener() const { return listener_.descriptor(); }
@@ -33,7 +33,7 @@
     struct Session;
 
     // Starts sessions until nothing waits or one has to be evicted; returns when to try again at the latest.
-    Time acceptWaiting();
+    Time acceptPending();
     void startSession(int descriptor);
     void evictOldestSession();
     Task<void> serve(std::unique_ptr<Session> owned);
--- a/src/health/health_checker.cpp
+++ b/src/health/health_checker.cpp
@@ -18,7 +18,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kDescriptorShareDivisor = 4;  // one descriptor in four is for health checks
-constexpr Micros kTurnPollInterval = 10ms;          // of a check that waits for a descriptor
+constexpr Micros kSlotPollInterval = 10ms;          // of a check that waits for a descriptor
 
 Outcome outcomeOf(std::string_view answer) {
     if (answer == keyword::kPong) return Outcome::Ok;
@@ -57,7 +57,7 @@
             idleUntil = scheduler_.now() + tracker_.idleTimeout();
             continue;
         }
-        if (endpoint.connection.socket) closeUnlessIdle(endpoint.connection);
+        if (endpoint.connection.socket) closeIfUnusable(endpoint.connection);
         if (scheduler_.now() >= idleUntil) break;
         co_await endpoint.signal.wait(idleUntil);
     }
@@ -68,7 +68,7 @@
 Task<void> HealthChecker::runCheck(EndpointId id, CheckedEndpoint& endpoint) {
     const Time start = scheduler_.now();
     while (checksInProgress_ >= maxConnections_) {
-        co_await endpoint.signal.wait(scheduler_.now() + kTurnPollInterval);
+        co_await endpoint.signal.wait(scheduler_.now() + kSlotPollInterval);
     }
     endpoint.checkInProgress = true;
     ++checksInProgress_;
@@ -81,7 +81,7 @@
 }
 
 // Between checks an endpoint sends nothing: input or the end of the connection makes it useless.
-void HealthChecker::closeUnlessIdle(Connection& connection) {
+void HealthChecker::closeIfUnusable(Connection& connection) {
     connection.fill();
     if (connection.over() || !connection.in.empty()) connection = Connection{};
 }
--- a/src/health/health_checker.hpp
+++ b/src/health/health_checker.hpp
@@ -51,7 +51,7 @@
     Task<std::optional<Result>> exchange(CheckedEndpoint& endpoint, bool reused);
     static std::optional<Result> readAnswer(Connection& connection);
     static std::optional<Outcome> failureOf(const Connection& connection, bool deadlinePassed);
-    static void closeUnlessIdle(Connection& connection);
+    static void closeIfUnusable(Connection& connection);
 
     Scheduler& scheduler_;
     RequestTracker& tracker_;
--- a/src/node/config_reload.cpp
+++ b/src/node/config_reload.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool sameIdentity(const Config& next, const Config& current) {
+bool hasSameIdentity(const Config& next, const Config& current) {
     return next.name == current.name && next.listen == current.listen &&
            next.adminAddress == current.adminAddress;
 }
@@ -22,7 +22,7 @@
     Config& next = result.config;
     if (const auto key = firstMissingKey(next, current))
         throw ConfigError(*key, "missing, but present in the current configuration");
-    result.restartNeeded = !sameIdentity(next, current);
+    result.restartNeeded = !hasSameIdentity(next, current);
     next.name = current.name;
     next.listen = current.listen;
     next.adminAddress = current.adminAddress;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -54,11 +54,11 @@
       handover_(scheduler_, *this, handoverAddress),
       signals_(scheduler_) {
     applyDescriptorLimits();
-    restoreKnowledge();
+    restoreState();
     proxyServer_.setAccepting(false);
     scheduler_.spawn(watcher_.run());
     scheduler_.spawn(proxyServer_.accept());
-    scheduler_.spawn(followSignals());
+    scheduler_.spawn(processSignals());
     if (config_.adminAddress) startAdminServer(predecessor);
     if (predecessor) {
         spdlog::info("hot restart: taking over from the predecessor");
@@ -87,7 +87,7 @@
 }
 
 // The endpoint list as last known, and what the predecessor had learned.
-void Node::restoreKnowledge() {
+void Node::restoreState() {
     const MembershipUpdate& known = inheritedState_ ? inheritedState_->list : config_.known;
     watcher_.restore(known);
     applyDiscoverySettings();
@@ -121,7 +121,7 @@
 }
 
 // The list as last known may be old.
-Task<void> Node::awaitList(Micros timeout) {
+Task<void> Node::awaitFirstListCall(Micros timeout) {
     Signal pause{scheduler_};
     const Time deadline = scheduler_.now() + timeout;
     while (!watcher_.firstCallEnded() && scheduler_.now() < deadline) {
@@ -131,13 +131,13 @@
 
 // Where the list is pushed, a node counts as notified of all that discovery has from its first moment.
 Task<void> Node::serveAfterPushedList() {
-    co_await awaitList(kPushedListTimeout);
+    co_await awaitFirstListCall(kPushedListTimeout);
     startServing();
 }
 
 Task<void> Node::takeOver(int link) {
     scheduler_.spawn(handover_.follow(link));
-    co_await awaitList(kTakeoverListTimeout);
+    co_await awaitFirstListCall(kTakeoverListTimeout);
     startServing();
     handover_.serve();
 }
@@ -202,7 +202,7 @@
 
 std::string Node::metricsText() const {
     const ListStatus list = watcher_.status();
-    return metrics_.exposition({proxyServer_.current(), tracker_.listedEndpointCount(),
+    return metrics_.exposition({proxyServer_.openRequestCount(), tracker_.listedEndpointCount(),
                                 tracker_.avoidedEndpointCount(), inMillis(list.age),
                                 inMillis(list.timeWithoutWatch)});
 }
@@ -222,7 +222,7 @@
     if (adminServer_) state.adminAddress = adminServer_->address().text();
     state.list = watcher_.snapshot();
     state.learned = tracker_.exportState();
-    state.ids = proxyServer_.ids();
+    state.ids = proxyServer_.requestIds();
     return state.text();
 }
 
@@ -260,7 +260,7 @@
 
 // ---- signals and shutdown ----
 
-Task<void> Node::followSignals() {
+Task<void> Node::processSignals() {
     for (;;) {
         while (const auto number = signals_.take()) {
             handleSignal(*number);
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -63,10 +63,10 @@
     static std::optional<HandoverState> parseState(const std::optional<PredecessorState>& predecessor);
 
     // Startup.
-    void restoreKnowledge();
+    void restoreState();
     void startAdminServer(std::optional<PredecessorState>& predecessor);
     void startServing();
-    Task<void> awaitList(Micros timeout);
+    Task<void> awaitFirstListCall(Micros timeout);
     Task<void> serveAfterPushedList();
     Task<void> takeOver(int link);
 
@@ -78,7 +78,7 @@
     void apply(Config config);
 
     // Signals and shutdown.
-    Task<void> followSignals();
+    Task<void> processSignals();
     void handleSignal(int number);
     void requestShutdown(bool interrupted);
     Task<void> shutDown(bool exitWhenDrained);
--- a/src/proxy/client_responses.cpp
+++ b/src/proxy/client_responses.cpp
@@ -7,7 +7,7 @@
 
 namespace ivyreel {
 
-Task<void> ClientResponses::shedLoad(ConnectionPair& connections, RequestClassMetrics& classMetrics,
+Task<void> ClientResponses::sendBusy(ConnectionPair& connections, RequestClassMetrics& classMetrics,
                                      Micros retryAfter) {
     ++metrics_.rejected;
     ++classMetrics.deferred;
@@ -17,14 +17,14 @@
     return closeWithFinalLine(connections, line.append(kLineEnd));
 }
 
-Task<void> ClientResponses::fail(ConnectionPair& connections, RequestClassMetrics& classMetrics) {
+Task<void> ClientResponses::sendFailure(ConnectionPair& connections, RequestClassMetrics& classMetrics) {
     ++metrics_.failed;
     ++classMetrics.errored;
     return closeWithFinalLine(connections, std::string(fixed_line::kError));
 }
 
-Task<void> ClientResponses::reject(ConnectionPair& connections, InputError error,
-                                   RequestClassMetrics* classMetrics) {
+Task<void> ClientResponses::rejectInput(ConnectionPair& connections, InputError error,
+                                        RequestClassMetrics* classMetrics) {
     ++metrics_.badInput;
     if (classMetrics != nullptr) ++classMetrics->errored;
     ++counterOf(error);
--- a/src/proxy/client_responses.hpp
+++ b/src/proxy/client_responses.hpp
@@ -25,11 +25,11 @@
     explicit ClientResponses(Metrics& metrics) : metrics_(metrics) {}
 
     // BUSY, with the time after which the client should retry if it is not zero.
-    Task<void> shedLoad(ConnectionPair& connections, RequestClassMetrics& classMetrics, Micros retryAfter);
+    Task<void> sendBusy(ConnectionPair& connections, RequestClassMetrics& classMetrics, Micros retryAfter);
     // ERR to a request that has failed.
-    Task<void> fail(ConnectionPair& connections, RequestClassMetrics& classMetrics);
+    Task<void> sendFailure(ConnectionPair& connections, RequestClassMetrics& classMetrics);
     // ERR to input that is no valid request. `classMetrics` is null if its class is not known.
-    Task<void> reject(ConnectionPair& connections, InputError error, RequestClassMetrics* classMetrics);
+    Task<void> rejectInput(ConnectionPair& connections, InputError error, RequestClassMetrics* classMetrics);
 
   private:
     std::uint64_t& counterOf(InputError error);
--- a/src/proxy/connection_acceptor.cpp
+++ b/src/proxy/connection_acceptor.cpp
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kMaxAcceptsPerTurn = 8;
-constexpr Micros kExhaustionPause = 50ms;  // before the next accept when there was no descriptor
+constexpr int kMaxAcceptsPerBatch = 8;
+constexpr Micros kExhaustedRetryDelay = 50ms;  // before the next accept when there was no descriptor
 
 }  // namespace
 
@@ -43,7 +43,7 @@
 // Returns when to try again even if the socket reports nothing.
 Time ConnectionAcceptor::acceptBatch() {
     for (int accepted = 0; accepting_; ++accepted) {
-        if (accepted == kMaxAcceptsPerTurn) {
+        if (accepted == kMaxAcceptsPerBatch) {
             signal_.raise();
             return kNever;
         }
@@ -54,7 +54,7 @@
         if (state == Socket::Accepting::None) return kNever;
         if (state == Socket::Accepting::Exhausted) {
             reportExhaustion();
-            return scheduler_.now() + kExhaustionPause;
+            return scheduler_.now() + kExhaustedRetryDelay;
         }
         exhaustionReported_ = false;
         handle(descriptor);
--- a/src/proxy/connection_attempt.cpp
+++ b/src/proxy/connection_attempt.cpp
@@ -75,7 +75,7 @@
         ++metrics_.notSent;
         return ended(Outcome::NotSent);
     }
-    text_ = opening_.withTimeout(answerDeadline_ - polledAt_);
+    openingText_ = opening_.withTimeout(answerDeadline_ - polledAt_);
     ++metrics_.attempts;
     return std::nullopt;
 }
@@ -92,7 +92,7 @@
 
 void ConnectionAttempt::sendOpening() {
     const bool sentBefore = openingSent();
-    connections_.upstream.send(text_, sent_);
+    connections_.upstream.send(openingText_, sentBytes_);
     if (sentBefore || !openingSent()) return;
     ++classMetrics_.sends;
     spdlog::debug("sent request {:016x} class={} to endpoint {:016x}, attempt {}{}", opening_.id(),
--- a/src/proxy/connection_attempt.hpp
+++ b/src/proxy/connection_attempt.hpp
@@ -63,7 +63,7 @@
     AttemptResult resultOf(const Line& answer);
     AttemptResult withoutOutcome(AttemptResult::Kind kind);
     AttemptResult ended(Outcome outcome, std::optional<LoadReport> load = std::nullopt);
-    bool openingSent() const { return sent_ > 0 && sent_ == text_.size(); }
+    bool openingSent() const { return sentBytes_ > 0 && sentBytes_ == openingText_.size(); }
     Time now() const { return connections_.signal.scheduler().now(); }
 
     const EndpointConnector& connector_;
@@ -79,8 +79,8 @@
     Time connectDeadline_;
     Time polledAt_;
     std::optional<Address> address_;
-    std::string text_;      // the opening line, once the connection is established
-    std::size_t sent_ = 0;  // bytes of it
+    std::string openingText_;    // the opening line, once the connection is established
+    std::size_t sentBytes_ = 0;  // bytes of it
     bool connected_ = false;
 };
 
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -14,13 +14,13 @@
 using namespace std::chrono_literals;
 
 // The load balancer in front goes on sending connections for so long after SIGTERM.
-constexpr Micros kFrontReactionTime = 450ms;
+constexpr Micros kLoadBalancerReactionTime = 450ms;
 // SIGKILL comes no sooner after SIGTERM than the longest client timeout, cut to the first of these, plus the
 // second.
-constexpr Micros kMaxTimeoutBeforeKill = 3s;
-constexpr Micros kMinTimeBeforeKill = 700ms;
+constexpr Micros kMaxClientTimeoutBeforeKill = 3s;
+constexpr Micros kExtraTimeBeforeKill = 700ms;
 constexpr Micros kMarginBeforeKill = 500ms;  // between the last migration and SIGKILL
-constexpr Micros kStep = 50ms;
+constexpr Micros kStepInterval = 50ms;
 
 }  // namespace
 
@@ -28,9 +28,10 @@
     Signal timer{scheduler_};
     const Time start = scheduler_.now();
     const Micros timeBeforeKill =
-        std::min(tracker_.longestRequestTimeout(), kMaxTimeoutBeforeKill) + kMinTimeBeforeKill;
-    const Time deadline = start + std::max(timeBeforeKill - kMarginBeforeKill, kFrontReactionTime + kStep);
-    const Time migrationStart = start + std::max(kFrontReactionTime, (deadline - start) / 2);
+        std::min(tracker_.longestRequestTimeout(), kMaxClientTimeoutBeforeKill) + kExtraTimeBeforeKill;
+    const Time deadline =
+        start + std::max(timeBeforeKill - kMarginBeforeKill, kLoadBalancerReactionTime + kStepInterval);
+    const Time migrationStart = start + std::max(kLoadBalancerReactionTime, (deadline - start) / 2);
     for (;;) {
         const Time now = scheduler_.now();
         if (recentRequestIds_.openCount() == 0 && now >= migrationStart && drained)
@@ -38,7 +39,7 @@
         handOver(successor);
         if (now >= migrationStart) migrateShare(deadline - now);
         if (now >= deadline) failPendingRequests();
-        co_await timer.wait(now + kStep);
+        co_await timer.wait(now + kStepInterval);
     }
 }
 
@@ -55,7 +56,7 @@
     std::vector<ConnectionPair*> remaining;
     std::copy_if(active_.established.begin(), active_.established.end(), std::back_inserter(remaining),
                  [](const ConnectionPair* connections) { return !connections->migrationRequested; });
-    const auto steps = static_cast<std::size_t>(std::max<Micros::rep>(1, timeLeft / kStep));
+    const auto steps = static_cast<std::size_t>(std::max<Micros::rep>(1, timeLeft / kStepInterval));
     remaining.resize((remaining.size() + steps - 1) / steps);
     for (ConnectionPair* connections : remaining) {
         connections->migrationRequested = true;
--- a/src/proxy/opening_reader.cpp
+++ b/src/proxy/opening_reader.cpp
@@ -16,7 +16,7 @@
 
 constexpr Micros kOpeningTimeout = 2s;
 constexpr Micros kServingPollInterval = 20ms;
-constexpr int kLinesPerTurn = 16;                        // before the other coroutines have their turn
+constexpr int kMaxLinesBeforeYield = 16;                 // before the other coroutines have their turn
 constexpr double kMaxClientTimeoutMs = 24 * 3600 * 1e3;  // a day
 
 bool hasNumberWithin(const OpeningLine& opening, std::string_view attribute, double max) {
@@ -85,10 +85,10 @@
                 Validated validated = takeOpening(client, *line);
                 if (auto* opening = std::get_if<OpeningLine>(&validated)) co_return std::move(*opening);
                 const Rejected rejected = std::get<Rejected>(validated);
-                co_await responses_.reject(connections, rejected.error, rejected.classMetrics);
+                co_await responses_.rejectInput(connections, rejected.error, rejected.classMetrics);
                 co_return std::nullopt;
             }
-            if (++healthChecks % kLinesPerTurn == 0) {
+            if (++healthChecks % kMaxLinesBeforeYield == 0) {
                 connections.signal.raise();
                 co_await connections.signal.wait();
             }
@@ -100,7 +100,7 @@
             ++metrics_.pings;
         }
         if (exceedsMaxLineLength(client.in.view())) {
-            co_await responses_.reject(connections, InputError::OverlongLine, nullptr);
+            co_await responses_.rejectInput(connections, InputError::OverlongLine, nullptr);
             co_return std::nullopt;
         }
         if (hasEnded(connections, deadline)) co_return std::nullopt;
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -47,10 +47,10 @@
         if (!opening->value(opening_attribute::kCurrentEndpoint).empty()) {
             co_await session.resume(classMetrics);
         } else if (descriptors_.admitsRequest()) {
-            co_await session.place(classMetrics);
+            co_await session.serveNewRequest(classMetrics);
         } else {
             ++metrics_.outOfDescriptors;
-            co_await responses_.shedLoad(connections, classMetrics, tracker_.retryAfterAdvice());
+            co_await responses_.sendBusy(connections, classMetrics, tracker_.retryAfterAdvice());
         }
     } catch (const std::exception& error) {
         spdlog::error("connection closed after an error: {}", error.what());
--- a/src/proxy/proxy_server.hpp
+++ b/src/proxy/proxy_server.hpp
@@ -47,13 +47,13 @@
     void setDescriptorLimit(std::size_t limit) { descriptors_.setLimit(limit); }
 
     // The ids of the requests that are open or ended recently.
-    std::vector<std::uint64_t> ids() const { return recentRequestIds_.all(); }
+    std::vector<std::uint64_t> requestIds() const { return recentRequestIds_.all(); }
     // Adds those of another node.
     void importRequestIds(const std::vector<std::uint64_t>& ids) {
         recentRequestIds_.addEnded(ids, scheduler_.now());
     }
     // How many requests are open.
-    std::size_t current() const { return recentRequestIds_.openCount(); }
+    std::size_t openRequestCount() const { return recentRequestIds_.openCount(); }
 
     // Begins a graceful shutdown, which goes on for as long as the node runs; `drained` is called when no
     // request is open any more.
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -17,8 +17,8 @@
 using namespace std::chrono_literals;
 
 // Clients send every 2 s, so one whose endpoint has gone silent waits for less than 7 s in all.
-constexpr Micros kSilenceTimeout = 4s;
-constexpr int kStepsPerTurn = 8;  // before the other coroutines have their turn
+constexpr Micros kUnresponsiveTimeout = 4s;
+constexpr int kMaxStepsBeforeYield = 8;  // before the other coroutines have their turn
 
 }  // namespace
 
@@ -27,10 +27,10 @@
     connections_.upstream.in.append(std::exchange(state_.fromUpstream, {}));
     for (;;) {
         int steps = 0;
-        while (steps < kStepsPerTurn && step()) {
+        while (steps < kMaxStepsBeforeYield && step()) {
             ++steps;
         }
-        const bool more = steps == kStepsPerTurn;
+        const bool more = steps == kMaxStepsBeforeYield;
         if (more) connections_.signal.raise();
         if (overlongLine_) {
             ++metrics_.badInput;
@@ -53,15 +53,16 @@
             co_return false;
         }
         if (prepareHandover()) co_return true;
-        const Time silentAt = state_.unanswered == kNever ? kNever : state_.unanswered + kSilenceTimeout;
-        if (now() >= silentAt) {
+        const Time unresponsiveAt =
+            state_.unanswered == kNever ? kNever : state_.unanswered + kUnresponsiveTimeout;
+        if (now() >= unresponsiveAt) {
             ++metrics_.migratedUnresponsive;
             ++metrics_.migrated;
             tracker_.connectionEnded(trackedRequest_, Outcome::Reset, std::nullopt);
             co_await migrate();
             co_return false;
         }
-        co_await connections_.signal.wait(silentAt);
+        co_await connections_.signal.wait(unresponsiveAt);
     }
 }
 
@@ -81,14 +82,14 @@
 bool Relay::step() {
     bool progress = connections_.client.fill();
     progress = connections_.upstream.fill() || progress;
-    readClient();
-    readUpstream();
+    scanClientLines();
+    scanUpstreamLines();
     progress = connections_.upstream.pass(connections_.client.in, state_.toUpstream) || progress;
     progress = connections_.client.pass(connections_.upstream.in, state_.toClient) || progress;
     return progress && !overlongLine_;
 }
 
-void Relay::readClient() {
+void Relay::scanClientLines() {
     while (const auto line = firstLine(connections_.client.in.view().substr(state_.toUpstream))) {
         state_.toUpstream += line->bytes;
         ++metrics_.linesToEndpoints;
@@ -97,7 +98,7 @@
     if (exceedsMaxLineLength(connections_.client.in.view().substr(state_.toUpstream))) overlongLine_ = true;
 }
 
-void Relay::readUpstream() {
+void Relay::scanUpstreamLines() {
     while (const auto line = firstLine(connections_.upstream.in.view().substr(state_.toClient))) {
         state_.toClient += line->bytes;
         ++metrics_.linesToClients;
@@ -179,7 +180,7 @@
             connections_.upstream.pass(connections_.client.in, all);
         }
         connections_.upstream.fill();
-        readUpstream();
+        scanUpstreamLines();
         connections_.client.pass(connections_.upstream.in, state_.toClient);
         if (!connections_.upstream.over() && !(connections_.client.in.empty() && !sendingFinished))
             co_await connections_.signal.wait(deadline);
--- a/src/proxy/relay.hpp
+++ b/src/proxy/relay.hpp
@@ -35,8 +35,8 @@
 
     bool step();
     bool prepareHandover();
-    void readClient();
-    void readUpstream();
+    void scanClientLines();
+    void scanUpstreamLines();
     void handleUpstreamLine(std::string_view line);
     void reportUpstreamEnd();
     Task<void> closeAfterUpstreamEnd();
--- a/src/proxy/request_session.cpp
+++ b/src/proxy/request_session.cpp
@@ -46,7 +46,7 @@
     }
 }
 
-Task<void> RequestSession::place(RequestClassMetrics& classMetrics) {
+Task<void> RequestSession::serveNewRequest(RequestClassMetrics& classMetrics) {
     TrackedRequest trackedRequest{context_.tracker, connections_, attributes()};
     std::optional<ScopedRegistration<TrackedRequest>> pending{std::in_place, context_.active.pending,
                                                               trackedRequest};
@@ -55,9 +55,9 @@
         const std::optional<Decision> decision = co_await awaitDecision(trackedRequest);
         if (!decision) co_return co_await abandon(trackedRequest, classMetrics);
         if (const auto* rejection = std::get_if<Rejection>(&*decision))
-            co_return co_await responses_.shedLoad(connections_, classMetrics, rejection->retryAfter);
+            co_return co_await responses_.sendBusy(connections_, classMetrics, rejection->retryAfter);
         if (std::holds_alternative<RequestFailure>(*decision))
-            co_return co_await responses_.fail(connections_, classMetrics);
+            co_return co_await responses_.sendFailure(connections_, classMetrics);
         const ForwardTo forward = std::get<ForwardTo>(*decision);
         const AttemptTarget target{forward.endpoint, forward.timeout, false};
         const AttemptResult result =
@@ -106,7 +106,7 @@
         const bool clientWaits = co_await waitBeforeRetry();
         if (!clientWaits) co_return co_await abandon(trackedRequest, classMetrics);
     }
-    co_await responses_.fail(connections_, classMetrics);
+    co_await responses_.sendFailure(connections_, classMetrics);
 }
 
 // Returns false if the client has disconnected or sent more meanwhile.
@@ -135,7 +135,7 @@
 Task<void> RequestSession::abandon(TrackedRequest& trackedRequest, RequestClassMetrics& classMetrics) {
     context_.tracker.abandon(trackedRequest);
     if (!connections_.client.in.empty())
-        co_return co_await responses_.reject(connections_, InputError::UnexpectedInput, &classMetrics);
+        co_return co_await responses_.rejectInput(connections_, InputError::UnexpectedInput, &classMetrics);
     ++context_.metrics.clientsDisconnected;
 }
 
--- a/src/proxy/request_session.hpp
+++ b/src/proxy/request_session.hpp
@@ -33,7 +33,7 @@
 
     // A new request: forwards it as the decision module says until an endpoint has accepted it, or it is
     // rejected or has failed.
-    Task<void> place(RequestClassMetrics& classMetrics);
+    Task<void> serveNewRequest(RequestClassMetrics& classMetrics);
     // A connection that was established at an endpoint before this node started: connects to that endpoint
     // again.
     Task<void> resume(RequestClassMetrics& classMetrics);
--- a/tests/admin_api_test.cpp
+++ b/tests/admin_api_test.cpp
@@ -26,21 +26,21 @@
 
 TEST(AdminApi, IsReadyOnceTheNodeServes) {
     FakeNode node;
-    EXPECT_EQ(handleAdminCall(node, "GET", "/-/ready").status, 503);
+    EXPECT_EQ(handleAdminRequest(node, "GET", "/-/ready").status, 503);
     node.isReady = true;
-    EXPECT_EQ(handleAdminCall(node, "GET", "/-/ready").status, 200);
-    EXPECT_EQ(handleAdminCall(node, "GET", "/-/metrics?x").body, "node.current:0|g\n");
+    EXPECT_EQ(handleAdminRequest(node, "GET", "/-/ready").status, 200);
+    EXPECT_EQ(handleAdminRequest(node, "GET", "/-/metrics?x").body, "node.current:0|g\n");
 }
 
 TEST(AdminApi, DecodesTheEndpointIdOfTheCall) {
     FakeNode node;
-    EXPECT_EQ(handleAdminCall(node, "POST", "/-/hosts/s%2F1/disable").status, 200);
+    EXPECT_EQ(handleAdminRequest(node, "POST", "/-/hosts/s%2F1/disable").status, 200);
     EXPECT_EQ(node.disabledEndpoint, "s/1");
-    EXPECT_EQ(handleAdminCall(node, "POST", "/-/hosts/s%2f1/enable").status, 200);
+    EXPECT_EQ(handleAdminRequest(node, "POST", "/-/hosts/s%2f1/enable").status, 200);
     EXPECT_EQ(node.disabledEndpoint, "");
-    EXPECT_EQ(handleAdminCall(node, "POST", "/-/hosts/s%2/disable").status, 400) << "a broken escape";
-    EXPECT_EQ(handleAdminCall(node, "POST", "/-/hosts/s-2/disable").status, 404) << "unknown";
-    EXPECT_EQ(handleAdminCall(node, "GET", "/-/hosts/s-1/disable").allowedMethod, "POST");
+    EXPECT_EQ(handleAdminRequest(node, "POST", "/-/hosts/s%2/disable").status, 400) << "a broken escape";
+    EXPECT_EQ(handleAdminRequest(node, "POST", "/-/hosts/s-2/disable").status, 404) << "unknown";
+    EXPECT_EQ(handleAdminRequest(node, "GET", "/-/hosts/s-1/disable").allowedMethod, "POST");
 }
 
 TEST(AdminApi, SerializesAResponseWithItsLengthAndTheAllowedMethod) {
@@ -49,7 +49,7 @@
               "Allow: GET\r\nConnection: close\r\n\r\nuse GET\n");
 }
 
-TEST(Metrics, AreExposedOneALineWithTheNamesOfTheContract) {
+TEST(Metrics, AreExposedOnePerLineUnderTheirDocumentedNames) {
     Metrics metrics;
     metrics.classes["chat"] = {.answered = 812, .deferred = 3, .errored = 2, .sends = 820};
     metrics.confLoaded = 1;
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -22,7 +22,7 @@
     }
 }
 
-TEST(AdminServer, RespondsToItsCallsAndRejectsAllOthers) {
+TEST(AdminServer, RespondsToKnownRequestsAndRejectsAllOthers) {
     StubServer server;
     NodeProcess node{withAdminServer(server)};
     EXPECT_EQ(node.adminRequest("GET", "/-/ready").first, 200);
@@ -42,7 +42,7 @@
     EXPECT_EQ(node.stop(), 0) << node.remainingLog();
 }
 
-TEST(AdminServer, ReadsACallInPiecesAndDeliversItsResponseDespiteUnreadInput) {
+TEST(AdminServer, ReadsARequestInPiecesAndDeliversItsResponseDespiteUnreadInput) {
     StubServer server;
     NodeProcess node{withAdminServer(server)};
     TestConnection slow = node.connectToAdminServer();
@@ -55,7 +55,7 @@
     EXPECT_EQ(node.metric("cluster_unhealthy"), 1);
 }
 
-TEST(AdminServer, RespondsWhileHundredsOfCallersNeverFinish) {
+TEST(AdminServer, RespondsWhileHundredsOfClientsSendIncompleteRequests) {
     StubServer server;
     NodeProcess node{withAdminServer(server)};
     constexpr int kCallers = 200;
@@ -111,7 +111,7 @@
         << "two established, ERR, a reset, one whose client disconnected";
 }
 
-constexpr int kMostFetches = 100'000;
+constexpr int kMaxFetches = 100'000;
 
 TEST(AdminServer, ReportsTheFreshnessOfTheEndpointList) {
     StubServer server;
@@ -136,7 +136,7 @@
     EXPECT_GE(stale, staleBefore);
     int fetches = 0;
     while (node.metric("list_age_ms") < 5) {  // grows until discovery sends something
-        ASSERT_LT(++fetches, kMostFetches);
+        ASSERT_LT(++fetches, kMaxFetches);
     }
     EXPECT_EQ(node.metric("list_stale_ms"), stale) << "a watch is open";
     node.signal(SIGUSR1);
--- a/tests/node_attempt_test.cpp
+++ b/tests/node_attempt_test.cpp
@@ -46,7 +46,7 @@
 }
 
 // Safe for every class: an endpoint that rejected the request, or could not be reached, has not run it.
-TEST(NodeAttempt, RetriesAtAnotherEndpointWhenNothingCanHaveRun) {
+TEST(NodeAttempt, RetriesANonIdempotentRequestThatNoEndpointHasRun) {
     StubServer one;
     StubServer two;
     NodeProcess::Options options;
--- a/tests/node_descriptors_test.cpp
+++ b/tests/node_descriptors_test.cpp
@@ -141,7 +141,7 @@
 }
 
 // Health checks take turns, and idle health-check connections make room for clients.
-TEST(NodeDescriptors, ServesMoreEndpointsThanItMayHaveDescriptors) {
+TEST(NodeDescriptors, ChecksAndServesMoreEndpointsThanItsDescriptorLimit) {
     StubServer server;
     StubDiscovery discovery;
     NodeProcess::Options options;
--- a/tests/node_shutdown_test.cpp
+++ b/tests/node_shutdown_test.cpp
@@ -9,7 +9,7 @@
 namespace ivyreel::test {
 namespace {
 
-TEST(NodeShutdown, MigratesAllClientsBetweenTwoLines) {
+TEST(NodeShutdown, MigratesEachClientAfterACompleteLine) {
     StubServer server;
     NodeProcess node{optionsFor(server)};
     std::array<EstablishedPair, 3> pairs{establishConnection(node, server), establishConnection(node, server),
@@ -49,7 +49,7 @@
 }
 
 // An opening line may be late, or a connection be delayed in the load balancer in front.
-TEST(NodeShutdown, MigratesAndFailsWhatArrivesAfterItWasDrained) {
+TEST(NodeShutdown, MigratesConnectionsAndFailsRequestsThatArriveAfterTheDrain) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
     options.clientTimeoutMs = 1000;
--- a/tests/node_start_test.cpp
+++ b/tests/node_start_test.cpp
@@ -67,7 +67,7 @@
 }
 
 // Without a sender it serves by the list last known.
-TEST(NodeStart, InPushModeServesWhenNobodySendsTheEndpointList) {
+TEST(NodeStart, InPushModeServesWithTheConfiguredListWhenDiscoveryIsUnreachable) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
     options.discoveryMode = "push";
@@ -88,7 +88,7 @@
     establishConnection(node, server);  // the load balancer in front still sends: that is served
 }
 
-TEST(NodeStart, ReportsWhatIsWrongWithItsConfiguration) {
+TEST(NodeStart, ReportsTheInvalidKeyOfItsConfiguration) {
     const std::string path = testing::TempDir() + "ivyreel_bad_" + std::to_string(::getpid()) + ".json";
     std::ofstream(path) << R"({"listen":"nowhere","discovery":"127.0.0.1:1","settings":{}})";
     FILE* output = ::popen(("RELAY_CONFIG='" + path + "' '" IVYREEL_NODE "' 2>&1").c_str(), "r");
--- a/tests/recent_request_ids_test.cpp
+++ b/tests/recent_request_ids_test.cpp
@@ -23,7 +23,7 @@
     EXPECT_FALSE(ids.isKnown(8, 100s));
 }
 
-TEST(RecentRequestIds, TheOldestEndedIdsAreForgottenBeyondTheLimit) {
+TEST(RecentRequestIds, EvictsTheOldestEndedIdsBeyondTheLimit) {
     RecentRequestIds ids;
     for (std::uint64_t id = 0; id <= 4096; ++id) {
         ids.open(id);
--- a/tests/request_race_test.cpp
+++ b/tests/request_race_test.cpp
@@ -20,13 +20,13 @@
 }
 
 // A node whose only endpoint drains, so that requests wait for another one.
-struct NodeWithoutEndpoint {
+struct NodeWithDrainingEndpoint {
     StubServer server;
     StubDiscovery discovery;
     NodeProcess node;
     StubDiscovery::Watch watch;
 
-    NodeWithoutEndpoint() : node(optionsFor(server, discovery)), watch(discovery.next()) {
+    NodeWithDrainingEndpoint() : node(optionsFor(server, discovery)), watch(discovery.next()) {
         watch.begin();
         setEndpointState("leaving");
     }
@@ -47,8 +47,8 @@
 };
 
 // Nothing else wakes the request: no endpoint, no answer, no timeout.
-TEST(ClientDisconnects, WhileItsRequestWaitsForAnEndpoint) {
-    NodeWithoutEndpoint fixture;
+TEST(ClientDisconnects, CancelsARequestThatWaitsForAnEndpoint) {
+    NodeWithDrainingEndpoint fixture;
     TestConnection closes = fixture.node.client(newOpeningLine());
     TestConnection resets = fixture.node.client(newOpeningLine());
     awaitCounter(fixture.node, "requests", 2);
@@ -58,8 +58,8 @@
     fixture.expectNothingWasSent();
 }
 
-TEST(ClientDisconnects, WhileItsRequestWaitsDuringAShutdown) {
-    NodeWithoutEndpoint fixture;
+TEST(ClientDisconnects, CancelsARequestThatWaitsDuringAShutdown) {
+    NodeWithDrainingEndpoint fixture;
     fixture.node.signal(SIGTERM);
     fixture.node.awaitLogLine("stopping");
     TestConnection client = fixture.node.client(newOpeningLine());
@@ -69,9 +69,9 @@
     fixture.expectNothingWasSent();
 }
 
-TEST(ClientDisconnects, WhileItsConnectionIsBeingResumed) {
+TEST(ClientDisconnects, CancelsAConnectionThatIsBeingResumed) {
     StubServer late;
-    NodeWithoutEndpoint fixture;
+    NodeWithDrainingEndpoint fixture;
     TestConnection client = fixture.node.client("OPEN 9b1f 7f3a c=chat,at=s-2\r\n");
     awaitCounter(fixture.node, "requests", 1);
     client.close();
@@ -82,8 +82,8 @@
     EXPECT_TRUE(late.idle());
 }
 
-TEST(ClientDisconnects, WhileItsRequestWaitsAfterAnAttempt) {
-    NodeWithoutEndpoint fixture;
+TEST(ClientDisconnects, CancelsARequestThatWaitsAfterARejectedAttempt) {
+    NodeWithDrainingEndpoint fixture;
     fixture.setEndpointState("active");
     TestConnection client = fixture.node.client(newOpeningLine());
     auto opened = fixture.server.next();
@@ -100,7 +100,7 @@
 }
 
 // Opening line and end of the connection have both arrived before the node reads.
-TEST(ClientDisconnects, BeforeItsOpeningLineIsRead) {
+TEST(ClientDisconnects, CancelsARequestBeforeItsOpeningLineIsRead) {
     StubServer server;
     NodeProcess node{optionsFor(server)};
     node.signal(SIGSTOP);
@@ -178,7 +178,7 @@
     }
 };
 
-TEST(ClientDisconnects, WhileItsUpstreamConnects) {
+TEST(ClientDisconnects, CancelsAnAttemptThatIsConnecting) {
     ConnectingNode fixture;
     fixture.client.close();
     awaitCounter(fixture.node, "clients_disconnected", 1);
@@ -186,7 +186,7 @@
 }
 
 // The endpoint never had the opening line, so even a request that is not idempotent is retried.
-TEST(EndpointCloses, AConnectionThatWasJustEstablished) {
+TEST(EndpointCloses, RetriesARequestWhoseOpeningLineWasNotSent) {
     for (const bool resets : {false, true}) {
         ConnectingNode fixture{"single_shot"};
         fixture.node.signal(SIGSTOP);
@@ -203,7 +203,7 @@
     }
 }
 
-TEST(EndpointListChanges, WhileConnectingToAnEndpointThatDrains) {
+TEST(EndpointListChanges, RetriesElsewhereWhenTheEndpointDrainsDuringTheConnect) {
     ConnectingNode fixture;
     fixture.watch.line(listChange(50, endpointEntry("s-1", fixture.full.address(), "leaving") + "," +
                                           endpointEntry("s-2", fixture.other.address())));
@@ -214,7 +214,7 @@
     EXPECT_EQ(fixture.node.counter("not_sent"), 1);
 }
 
-TEST(EndpointListChanges, WhileConnectingToAnEndpointWhoseAddressChanges) {
+TEST(EndpointListChanges, RetriesAtTheNewAddressWhenItChangesDuringTheConnect) {
     ConnectingNode fixture;
     fixture.watch.line(listChange(50, endpointEntry("s-1", fixture.other.address())));
     awaitCounter(fixture.node, "list_changes", 1);
--- a/tests/stale_list_test.cpp
+++ b/tests/stale_list_test.cpp
@@ -110,7 +110,7 @@
 }
 
 // A live list is authoritative: what an endpoint has said itself does not count.
-TEST_F(StaleEndpointList, MoveWhileTheListIsLiveWithholdsNothing) {
+TEST_F(StaleEndpointList, MoveWhileTheListIsLiveWithholdsNoEndpoint) {
     makeLive(*unanswered);
     established->server.send("MOVE\r\n");
     EXPECT_EQ(established->client.line(), "MOVE");
