--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -35,7 +35,7 @@
     }
 }
 
-// Decodes a segment of a path; none if one of its percent escapes is malformed.
+// Decodes a path segment; none if a percent escape is malformed.
 std::optional<std::string> percentDecoded(std::string_view text) {
     std::string result;
     while (!text.empty()) {
@@ -53,7 +53,7 @@
     return result;
 }
 
-// `path`: what follows the prefix, "ID/disable" or "ID/enable".
+// `path` is the part of the path after kEndpointPrefix: "ID/disable" or "ID/enable".
 AdminResponse handleEndpointRequest(AdminDelegate& node, std::string_view method, std::string_view path) {
     const std::size_t slash = path.rfind('/');
     const std::string_view verb = slash == std::string_view::npos ? "" : path.substr(slash + 1);
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -17,8 +17,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kSessionTimeout = 5s;         // from the connection to the end of the response
-constexpr Micros kExhaustedRetryDelay = 50ms;  // before the next accept, when no descriptor was left
+constexpr Micros kSessionTimeout = 5s;         // from the accept to the end of the response
+constexpr Micros kExhaustedRetryDelay = 50ms;  // when the process is out of descriptors
 
 }  // namespace
 
@@ -27,11 +27,11 @@
     Session(Scheduler& scheduler, int descriptor)
         : signal(scheduler), connection(Socket{signal, descriptor}) {}
 
-    // Reads more of the call. True once there is a response to it.
+    // Reads more of the request. Returns true once the response is available.
     bool receiveRequest(AdminDelegate& node);
     // Sends more of the response.
     void sendResponse();
-    // Whether the caller has gone, or has the response and has closed its side too.
+    // Whether the connection has failed, or the client has closed its side and no response is left to send.
     bool finished() const;
 
     Signal signal;
@@ -45,7 +45,7 @@
 };
 
 bool AdminServer::Session::receiveRequest(AdminDelegate& node) {
-    if (connection.fill()) signal.raise();  // there may be more than a buffer holds
+    if (connection.fill()) signal.raise();  // more input may be available
     if (!response.empty()) return true;
     try {
         request.take(connection.in, requestBody);
@@ -58,7 +58,7 @@
 }
 
 void AdminServer::Session::sendResponse() {
-    // Unread input at the end of a connection would cause a reset, which destroys the response.
+    // Closing a socket with unread input would reset the connection, and the client could lose the response.
     connection.in.drop(connection.in.size());
     connection.send(response, sent);
     const bool complete = sent == response.size();
@@ -108,11 +108,12 @@
     try {
         scheduler_.spawn(serve(std::make_unique<Session>(scheduler_, descriptor)));
     } catch (const std::system_error& error) {
-        spdlog::error("admin connection cannot be watched: {}", error.what());
+        spdlog::error("cannot serve an admin connection: {}", error.what());
     }
 }
 
-// Only one in each turn of the scheduler, so that every session had a turn before it is evicted.
+// Evicts only one session per round of the scheduler, so that each session runs at least once before it can
+// be evicted.
 void AdminServer::evictOldestSession() {
     sessions_.front()->evicted = true;
     sessions_.front()->signal.raise();
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,4 +1,4 @@
-// Serves the calls of operators over HTTP/1.1, one call to a connection.
+// Serves the admin API over HTTP/1.1, one request per connection.
 #pragma once
 
 #include <cstddef>
@@ -11,28 +11,30 @@
 
 namespace ivyreel {
 
-// At most kMaxSessions connections are served at a time. When one more comes, the oldest is evicted, so that
-// callers which never finish cannot block others.
+// Serves at most kMaxSessions connections at a time. When all sessions are in use, the oldest is evicted, so
+// that clients that never complete their request cannot block others.
 class AdminServer {
   public:
     static constexpr std::size_t kMaxSessions = 16;
-    // Sessions and the listener.
+    // The descriptors of the sessions and of the listener.
     static constexpr std::size_t kMaxDescriptors = kMaxSessions + 1;
 
-    // `inheritedListener`: a descriptor that listens at the address already; -1: none.
+    // `inheritedListener` is a descriptor that already listens at `listen`, or -1 to create one. Throws
+    // std::system_error.
     AdminServer(Scheduler& scheduler, AdminDelegate& node, const Address& listen, int inheritedListener = -1);
 
     Address address() const { return listener_.local(); }
     int listener() const { return listener_.descriptor(); }
-    // While the server does not accept, calls wait in the queue of the listener.
+    // Starts or stops accepting. While the server does not accept, new connections wait in the listen queue.
     void setAccepting(bool accepting);
-    // Runs as long as the node.
+    // Accepts connections until the scheduler drops this task.
     Task<void> accept();
 
   private:
     struct Session;
 
-    // Starts sessions until nothing waits or one has to be evicted; returns when to try again at the latest.
+    // Starts sessions until no connection waits or a session has to be evicted. Returns when to call this
+    // again even if the socket reports no event.
     Time acceptPending();
     void startSession(int descriptor);
     void evictOldestSession();
@@ -43,7 +45,7 @@
     Signal signal_;
     Socket listener_;
     bool accepting_ = true;
-    std::list<Session*> sessions_;  // the oldest first
+    std::list<Session*> sessions_;  // oldest first
 };
 
 }  // namespace ivyreel
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -10,7 +10,7 @@
 
 using CounterMember = std::uint64_t Metrics::*;
 
-// The counters of the log line, in its order.
+// The counters of the log line, in the order in which they are logged.
 constexpr auto kLoggedCounters = std::to_array<std::pair<std::string_view, CounterMember>>({
     {"accepted", &Metrics::accepted},
     {"pings", &Metrics::pings},
--- a/src/health/health_checker.cpp
+++ b/src/health/health_checker.cpp
@@ -17,8 +17,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kDescriptorShareDivisor = 4;  // one descriptor in four is for health checks
-constexpr Micros kSlotPollInterval = 10ms;          // of a check that waits for a descriptor
+constexpr std::size_t kDescriptorShareDivisor = 4;  // health checks get one descriptor in four
+constexpr Micros kSlotPollInterval = 10ms;          // of a check that waits for another to end
 
 Outcome outcomeOf(std::string_view answer) {
     if (answer == keyword::kPong) return Outcome::Ok;
@@ -47,8 +47,8 @@
     }
 }
 
-// Checks one endpoint whenever a check is requested, until none was for as long as its connection may be
-// idle.
+// Runs each requested check of one endpoint. Ends, and closes the connection, after the idle timeout without
+// a request.
 Task<void> HealthChecker::run(EndpointId id, CheckedEndpoint& endpoint) {
     Time idleUntil = scheduler_.now() + tracker_.idleTimeout();
     for (;;) {
@@ -64,7 +64,7 @@
     endpoints_.erase(id);
 }
 
-// Waits for a turn if too many checks are in progress, then checks and reports the result.
+// Waits while the maximum number of checks is in progress, then runs one check and reports the result.
 Task<void> HealthChecker::runCheck(EndpointId id, CheckedEndpoint& endpoint) {
     const Time start = scheduler_.now();
     while (checksInProgress_ >= maxConnections_) {
@@ -80,7 +80,8 @@
     tracker_.healthCheckCompleted(id, result.outcome, scheduler_.now() - start, result.load);
 }
 
-// Between checks an endpoint sends nothing: input or the end of the connection makes it useless.
+// An endpoint sends nothing between checks, so a connection with input cannot be reused, and neither can one
+// that has ended.
 void HealthChecker::closeIfUnusable(Connection& connection) {
     connection.fill();
     if (connection.over() || !connection.in.empty()) connection = Connection{};
@@ -91,7 +92,8 @@
     if (!address) co_return Result{};
     if (endpoint.connection.socket && !(endpoint.address == *address)) endpoint.connection = Connection{};
     if (endpoint.connection.socket) {
-        // No result: it was closed while it was idle, which says nothing about the endpoint.
+        // Without a result, the connection was closed while it was idle. This does not count as a failure of
+        // the endpoint, so the check is repeated on a new connection.
         if (const auto result = co_await exchange(endpoint, true)) co_return *result;
     }
     if (!co_await connect(id, endpoint)) co_return Result{};
@@ -104,7 +106,8 @@
     try {
         endpoint.connection = Connection{Socket::connectTo(endpoint.signal, endpoint.address)};
     } catch (const std::system_error& error) {
-        spdlog::warn("cannot connect to {} for a health check: {}", endpoint.address.text(), error.what());
+        spdlog::warn("cannot connect to endpoint at {} for a health check: {}", endpoint.address.text(),
+                     error.what());
         co_return false;
     }
     ++metrics_.healthCheckConnections;
@@ -120,7 +123,7 @@
     }
 }
 
-// Sends one query and reads its answer. None if a connection that was reused turned out to be closed.
+// Sends one health check and reads the answer. Returns none if the connection was reused and had been closed.
 Task<std::optional<HealthChecker::Result>> HealthChecker::exchange(CheckedEndpoint& endpoint, bool reused) {
     const std::string_view query = tracker_.wantsLoadReports() ? fixed_line::kLoadQuery : fixed_line::kPing;
     const Time deadline = scheduler_.now() + tracker_.connectTimeout();
@@ -140,7 +143,7 @@
     }
 }
 
-// None if the answer is not complete. The connection is closed unless it can be used again.
+// Returns none while the answer is incomplete. Closes the connection unless the connection can be reused.
 std::optional<HealthChecker::Result> HealthChecker::readAnswer(Connection& connection) {
     const auto line = firstLine(connection.in.view());
     if (!line) return std::nullopt;
@@ -151,7 +154,7 @@
     return result;
 }
 
-// Why there will be no answer; none if there may be one.
+// Returns why no answer can arrive any more; none if an answer may still arrive.
 std::optional<Outcome> HealthChecker::failureOf(const Connection& connection, bool deadlinePassed) {
     if (connection.over()) return Outcome::Reset;
     if (deadlinePassed) return Outcome::Timeout;
--- a/src/health/health_checker.hpp
+++ b/src/health/health_checker.hpp
@@ -1,4 +1,4 @@
-// Health checks of endpoints, each endpoint over a connection of its own that is kept open between checks.
+// Health checks of endpoints. Each endpoint has its own connection, which stays open between checks.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,19 @@
 
 namespace ivyreel {
 
-// Runs the health checks that the decision module asks for and reports their results to the tracker. If there
-// are more endpoints than it may have connections, checks take turns and no connection is kept.
+// Runs the health checks that the decision module requests and reports the results to the tracker. If there
+// are more endpoints than connections allowed, further checks wait for others to end and each connection is
+// closed after its check.
 class HealthChecker {
   public:
     HealthChecker(Scheduler& scheduler, RequestTracker& tracker, const EndpointConnector& connector,
                   Metrics& metrics)
         : scheduler_(scheduler), tracker_(tracker), connector_(connector), metrics_(metrics) {}
 
-    // Requests one check of the endpoint. A request while another one has not begun is the same check.
+    // Requests one check of the endpoint. Requests that arrive before the check has started share that check.
     void startHealthCheck(EndpointId endpoint);
-    // How many descriptors the node may have open in all: a share of them is for health checks.
+    // Sets the maximum number of connections for health checks to one descriptor in four, but at least 1.
+    // `limit` is the maximum number of descriptors that the node may have open.
     void setDescriptorLimit(std::size_t limit);
     // Closes the connections on which no check is in progress.
     void closeIdle();
--- a/src/node/config_reload.cpp
+++ b/src/node/config_reload.cpp
@@ -21,7 +21,7 @@
     ReloadedConfig result{readConfig(ConfigReadMode::Reload)};
     Config& next = result.config;
     if (const auto key = firstMissingKey(next, current))
-        throw ConfigError(*key, "missing, but present in the current configuration");
+        throw ConfigError(*key, "this key is missing, but the current configuration has it");
     result.restartNeeded = !hasSameIdentity(next, current);
     next.name = current.name;
     next.listen = current.listen;
--- a/src/node/config_reload.hpp
+++ b/src/node/config_reload.hpp
@@ -1,4 +1,4 @@
-// Reads the configuration of a running node again.
+// Reloads the configuration of a running node.
 #pragma once
 
 #include "config/node_config.hpp"
@@ -7,15 +7,16 @@
 
 struct ReloadedConfig {
     Config config;
-    // The file changes the name or a listening address: the config has the current ones, which a running node
-    // cannot change.
+    // True if the file changes the name or a listening address. A running node cannot change these, so
+    // `config` keeps the current values.
     bool restartNeeded = false;
 };
 
-// Throws ConfigError or SettingsError if the file cannot be used, or lacks a key that the current one has.
+// Reads the configuration file again. Throws ConfigError or SettingsError if the file is invalid, or lacks a
+// key that the current configuration has.
 ReloadedConfig reloadConfig(const Config& current);
 
-// Whether the file can be read and differs from the current configuration.
+// Whether the configuration file is valid and differs from the current configuration.
 bool configFileChanged(const Config& current);
 
 }  // namespace ivyreel
--- a/src/node/descriptor_limit.hpp
+++ b/src/node/descriptor_limit.hpp
@@ -1,11 +1,12 @@
-// How many descriptors the process may have open.
+// The limit of open descriptors of the process.
 #pragma once
 
 #include <cstddef>
 
 namespace ivyreel {
 
-// The configured limit, or that of the system if it is lower or none is configured (0).
+// Returns the lower of the configured limit and the system's limit (RLIMIT_NOFILE). `configured` is 0 if
+// there is no configured limit.
 std::size_t effectiveDescriptorLimit(std::size_t configured);
 
 }  // namespace ivyreel
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,4 +1,4 @@
-// The program: reads its configuration, takes over from a predecessor if one runs, and runs a node.
+// The node program: reads the configuration, requests the state of a running predecessor and runs a node.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -25,7 +25,7 @@
             config.adminAddress ? config.adminAddress->text() : ""};
 }
 
-// An unknown name reads as "off": it must not disable the log.
+// spdlog parses an unknown level name as "off". A misspelt level must not disable the log.
 spdlog::level::level_enum logLevel() {
     const char* name = std::getenv("RELAY_LOG");
     const auto level = name == nullptr ? spdlog::level::info : spdlog::level::from_str(name);
@@ -49,7 +49,7 @@
 }  // namespace
 
 int main() {
-    SignalReceiver::blockSignals();  // a shutdown or a reload may be requested during the start
+    SignalReceiver::blockSignals();  // a shutdown or reload may be requested during the start
     std::signal(SIGPIPE, SIG_IGN);
     try {
         configureLog();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -18,24 +18,25 @@
 
 using namespace std::chrono_literals;
 
-// After this time without a list from discovery, a successor serves on the one that it inherited.
+// After this time without a response from discovery, a successor serves with the list that it inherited.
 constexpr Micros kTakeoverListTimeout = 1500ms;
-// A pushed list arrives at once; until then clients wait unread.
+// How long a node in push mode delays its start for the first list, which usually arrives immediately. Until
+// then the connections of clients wait in the listen queue.
 constexpr Micros kPushedListTimeout = 500ms;
 constexpr Micros kListCheckInterval = 10ms;
 
-// The indices of the listening sockets in a handover.
+// The positions of the listening sockets in a handover.
 constexpr std::size_t kProxyListener = 0;
 constexpr std::size_t kAdminListener = 1;
 
-// Descriptors that the scheduler does not watch: the log, epoll and the like.
+// Descriptors that the scheduler does not watch, such as those of the log and of epoll.
 constexpr std::size_t kUnwatchedDescriptors = 8;
 
 std::int64_t inMillis(Micros span) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
-// Differs between processes that start at the same time.
+// A seed that differs between processes that start at the same time.
 std::uint64_t processSeed(Time now) {
     return mix(static_cast<std::uint64_t>(::getpid())) ^ static_cast<std::uint64_t>(now.count());
 }
@@ -81,12 +82,13 @@
     try {
         return HandoverState::parse(predecessor->handoverState());
     } catch (const std::exception& error) {
-        spdlog::error("hot restart: the state of the predecessor cannot be read: {}", error.what());
+        spdlog::error("hot restart: ignoring the state of the predecessor, which is invalid: {}",
+                      error.what());
         return std::nullopt;
     }
 }
 
-// The endpoint list as last known, and what the predecessor had learned.
+// Restores the state of the predecessor, if there is one; otherwise the endpoint list of the configuration.
 void Node::restoreState() {
     const MembershipUpdate& known = inheritedState_ ? inheritedState_->list : config_.known;
     watcher_.restore(known);
@@ -98,7 +100,8 @@
     }
 }
 
-// A listener at the predecessor's address is handed over with the calls that wait in its queue.
+// If the predecessor's admin server listens at the same address, its listener is inherited together with the
+// connections in the listen queue, and accepts only when this node serves.
 void Node::startAdminServer(std::optional<PredecessorState>& predecessor) {
     const bool shared = inheritedState_ && inheritedState_->adminAddress == config_.adminAddress->text();
     const int listener = shared ? predecessor->takeListener(kAdminListener) : -1;
@@ -114,13 +117,15 @@
     proxyServer_.setAccepting(true);
     proxyServer_.startServing();
     if (adminServer_) adminServer_->setAccepting(true);
-    // Before the log line: whoever waits for it may start a successor at once.
+    // This precedes the log line because an operator who waits for that line may start a successor
+    // immediately.
     handover_.open();
     scheduler_.spawn(handover_.listen());
     spdlog::info("{} serves at {}", config_.name, proxyServer_.address().text());
 }
 
-// The list as last known may be old.
+// Waits until the first call to discovery has succeeded or failed, or until the timeout: the restored list
+// may be outdated.
 Task<void> Node::awaitFirstListCall(Micros timeout) {
     Signal pause{scheduler_};
     const Time deadline = scheduler_.now() + timeout;
@@ -129,7 +134,8 @@
     }
 }
 
-// Where the list is pushed, a node counts as notified of all that discovery has from its first moment.
+// In push mode, a node is expected to know every change of the endpoint list from its start, so it must not
+// serve with an older list.
 Task<void> Node::serveAfterPushedList() {
     co_await awaitFirstListCall(kPushedListTimeout);
     startServing();
@@ -144,7 +150,7 @@
 
 // ---- configuration ----
 
-// The admin server has descriptors of its own, and so has the predecessor.
+// The descriptors that remain after those of the admin server and of the predecessor.
 std::size_t Node::clientDescriptorLimit() const {
     const std::size_t adminDescriptors = config_.adminAddress ? AdminServer::kMaxDescriptors : 0;
     const std::size_t reserved = adminDescriptors + predecessorDescriptors_;
@@ -163,7 +169,7 @@
     watcher_.setPushGrace(config_.listPushed ? std::optional(drainGracePeriod) : std::nullopt);
 }
 
-// Applies all of the new file, or nothing of it.
+// Applies the whole configuration file; if the file is invalid, the current configuration stays in effect.
 void Node::reload() {
     try {
         ReloadedConfig reloaded = reloadConfig(config_);
@@ -193,10 +199,12 @@
     const auto id = static_cast<std::uint64_t>(endpoint);
     if (withheld) {
         ++metrics_.withheld;
-        spdlog::info("endpoint {:016x} is withheld from new connections: its responses show a drain", id);
+        spdlog::info(
+            "endpoint {:016x} is withheld from new connections: its responses indicate that it is draining",
+            id);
     } else {
         ++metrics_.withheldCleared;
-        spdlog::info("endpoint {:016x} is no longer withheld", id);
+        spdlog::info("endpoint {:016x} is no longer withheld from new connections", id);
     }
 }
 
@@ -236,9 +244,9 @@
     return scheduler_.descriptors() + kUnwatchedDescriptors;
 }
 
-// A successor with another admin address leaves this node's admin server in service.
+// If the successor has another admin address, the admin server of this node goes on accepting.
 void Node::successorServes(bool serves, const std::string& adminAddress) {
-    spdlog::info(serves ? "hot restart: the successor serves, new connections go to it"
+    spdlog::info(serves ? "hot restart: the successor serves and accepts all new connections"
                         : "hot restart: the successor has ended, accepting connections again");
     proxyServer_.setAccepting(!serves);
     if (adminServer_ && adminAddress == adminServer_->address().text()) adminServer_->setAccepting(!serves);
@@ -253,7 +261,7 @@
     tracker_.applyOperatorBan(endpoint, banned);
 }
 
-// Only the process that got the signal logs that a file cannot be read.
+// An invalid file is not reported here: the process that received the signal logs the error.
 void Node::onReload() {
     if (configFileChanged(config_)) reload();
 }
@@ -285,17 +293,17 @@
            " list_stale_ms=" + std::to_string(inMillis(list.timeWithoutWatch));
 }
 
-// A second SIGINT ends the node at once.
+// A second SIGINT stops the node immediately.
 void Node::requestShutdown(bool interrupted) {
     if (std::exchange(shuttingDown_, true)) {
         if (interrupted) scheduler_.stop();
         return;
     }
-    spdlog::info("stopping: migrating connections");
+    spdlog::info("stopping: draining connections");
     scheduler_.spawn(shutDown(interrupted));
 }
 
-// After SIGTERM a drained node waits to be killed; after SIGINT it exits by itself.
+// After SIGTERM, a drained node goes on running until it is killed; after SIGINT, it exits.
 Task<void> Node::shutDown(bool exitWhenDrained) {
     co_await proxyServer_.drain(handover_, [this, exitWhenDrained] {
         spdlog::info("drained; counters: {}", countersText());
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,4 +1,4 @@
-// One node: owns its parts, connects them, and reacts to signals, operators and hot restarts.
+// One node: owns and connects its components, and handles signals, admin requests and hot restarts.
 #pragma once
 
 #include <cstddef>
@@ -27,15 +27,16 @@
 
 class Node final : public TrackerEnvironment, public AdminDelegate, public HandoverDelegate {
   public:
-    // Takes over from the predecessor, if there is one.
+    // Starts the tasks of the node. With a predecessor, the node inherits the predecessor's state and
+    // listening sockets.
     Node(Config config, const HandoverAddress& handoverAddress, std::optional<PredecessorState> predecessor);
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
     Node(Node&&) = delete;
     Node& operator=(Node&&) = delete;
-    ~Node() override { scheduler_.dropTasks(); }  // they refer to the other members
+    ~Node() override { scheduler_.dropTasks(); }  // the tasks refer to the other members
 
-    // Runs until a shutdown by SIGINT has completed.
+    // Runs until a shutdown that SIGINT requested has completed.
     void run();
 
     // TrackerEnvironment
@@ -84,9 +85,9 @@
     Task<void> shutDown(bool exitWhenDrained);
     std::string countersText() const;
 
-    Config config_;                                // in effect
-    std::optional<HandoverState> inheritedState_;  // of the predecessor, until this node serves
-    std::size_t predecessorDescriptors_ = 0;       // that it still holds
+    Config config_;                                // the configuration in effect
+    std::optional<HandoverState> inheritedState_;  // the predecessor's state; none once this node serves
+    std::size_t predecessorDescriptors_ = 0;       // that the predecessor still has open
     Scheduler scheduler_;
     Metrics metrics_;
     RequestTracker tracker_;
--- a/src/node/signal_receiver.hpp
+++ b/src/node/signal_receiver.hpp
@@ -1,4 +1,4 @@
-// Receives the signals that control a node, as events of its scheduler.
+// Receives the signals that control a node (SIGTERM, SIGINT, SIGHUP, SIGUSR1) as events of the scheduler.
 #pragma once
 
 #include <optional>
@@ -12,13 +12,13 @@
   public:
     explicit SignalReceiver(Scheduler& scheduler);
 
-    // Blocks the signals until a receiver reads them: by default they would end the process. To be called
-    // before anything else.
+    // Blocks the signals, which would end the process by default, until a receiver reads them. To be called
+    // first in main().
     static void blockSignals();
 
-    // The number of the next signal that has arrived; none if none has.
+    // Removes and returns the number of the next pending signal; none if no signal is pending.
     std::optional<int> take() const;
-    // Wakes up when a signal may have arrived.
+    // Awaits the next signal. May resume although none is pending.
     auto wait() { return signal_.wait(); }
 
   private:
--- a/src/proxy/active_connections.hpp
+++ b/src/proxy/active_connections.hpp
@@ -1,4 +1,4 @@
-// The requests and connections that are in progress, for whoever has to end them all.
+// Registries of the requests and connections in progress, so that a shutdown can end all of them.
 #pragma once
 
 #include <set>
@@ -8,7 +8,7 @@
 
 namespace ivyreel {
 
-// Keeps one object registered in a set for as long as this object lives.
+// Registers an object in a set, and removes it from the set in the destructor.
 template <class T>
 class ScopedRegistration {
   public:
@@ -26,10 +26,10 @@
     T& object_;
 };
 
-// Registries of what a graceful shutdown has to migrate, hand over or fail.
+// What a graceful shutdown has to migrate, hand over or fail.
 struct ActiveConnections {
-    std::set<TrackedRequest*> pending;      // new requests without a final answer
-    std::set<ConnectionPair*> established;  // relayed connections, and those being resumed
+    std::set<TrackedRequest*> pending;      // new requests that have no final answer yet
+    std::set<ConnectionPair*> established;  // connections that are being relayed or resumed
 };
 
 }  // namespace ivyreel
--- a/src/proxy/client_responses.hpp
+++ b/src/proxy/client_responses.hpp
@@ -1,4 +1,4 @@
-// The answers that the node itself gives to clients, and their metrics.
+// The final answers that the node itself sends to clients, and their metrics.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,28 @@
 
 namespace ivyreel {
 
-// Why the input of a client is rejected.
+// Why the node rejects the input of a client.
 enum class InputError {
-    Malformed,        // no opening line
-    OverlongLine,     // no end within the longest line
-    UnknownClass,     // a request class that the settings do not name
-    InvalidNumber,    // a number that cannot be read or is out of range
-    DuplicateId,      // the id of a request that is open or ended recently
-    UnexpectedInput,  // more than the opening line before the answer
+    Malformed,        // not a well-formed opening line
+    OverlongLine,     // no line end within kMaxLineBytes
+    UnknownClass,     // a request class that is absent from the settings
+    InvalidNumber,    // a number that is malformed or out of range
+    DuplicateId,      // the id of a request that is open or has ended recently
+    UnexpectedInput,  // data after the opening line, before the answer
 };
 
-// Each function counts the answer at once; the returned task sends it and closes the connection.
+// Each function updates the metrics immediately; the task that it returns sends the answer and closes the
+// connection.
 class ClientResponses {
   public:
     explicit ClientResponses(Metrics& metrics) : metrics_(metrics) {}
 
-    // BUSY, with the time after which the client should retry if it is not zero.
+    // Sends BUSY and, unless `retryAfter` is 0, the time in milliseconds after which the client should retry.
     Task<void> sendBusy(ConnectionPair& connections, RequestClassMetrics& classMetrics, Micros retryAfter);
-    // ERR to a request that has failed.
+    // Sends ERR for a request that has failed.
     Task<void> sendFailure(ConnectionPair& connections, RequestClassMetrics& classMetrics);
-    // ERR to input that is no valid request. `classMetrics` is null if its class is not known.
+    // Sends ERR for input that is not a valid request. `classMetrics` is null if the request class is
+    // unknown.
     Task<void> rejectInput(ConnectionPair& connections, InputError error, RequestClassMetrics* classMetrics);
 
   private:
--- a/src/proxy/connection_acceptor.cpp
+++ b/src/proxy/connection_acceptor.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 constexpr int kMaxAcceptsPerBatch = 8;
-constexpr Micros kExhaustedRetryDelay = 50ms;  // before the next accept when there was no descriptor
+constexpr Micros kExhaustedRetryDelay = 50ms;  // when the process is out of descriptors
 
 }  // namespace
 
@@ -40,7 +40,8 @@
     }
 }
 
-// Returns when to try again even if the socket reports nothing.
+// Accepts up to kMaxAcceptsPerBatch connections. Returns when to call this again even if the socket reports
+// no event.
 Time ConnectionAcceptor::acceptBatch() {
     for (int accepted = 0; accepting_; ++accepted) {
         if (accepted == kMaxAcceptsPerBatch) {
@@ -64,7 +65,7 @@
 
 void ConnectionAcceptor::reportExhaustion() {
     if (std::exchange(exhaustionReported_, true)) return;
-    spdlog::error("cannot accept connections: out of descriptors ({} sockets open, limit {})",
+    spdlog::error("cannot accept connections: out of descriptors ({} watched, limit {})",
                   scheduler_.descriptors(), descriptors_.limit());
 }
 
@@ -73,7 +74,7 @@
     try {
         handler_(descriptor);
     } catch (const std::system_error& error) {
-        spdlog::error("cannot watch an accepted connection: {}", error.what());
+        spdlog::error("cannot serve an accepted connection: {}", error.what());
     }
 }
 
--- a/src/proxy/connection_acceptor.hpp
+++ b/src/proxy/connection_acceptor.hpp
@@ -1,4 +1,4 @@
-// The listening socket for downstream connections.
+// Accepts downstream connections at the listening socket of the proxy.
 #pragma once
 
 #include <functional>
@@ -11,14 +11,15 @@
 
 namespace ivyreel {
 
-// Accepts connections in batches, evicts unopened ones to make room, and pauses when the process has no
-// descriptor left.
+// Accepts connections in batches. Evicts the oldest unopened connection when their number reaches its limit,
+// and pauses when the process has run out of descriptors.
 class ConnectionAcceptor {
   public:
-    // Takes ownership of an accepted descriptor. May throw std::system_error.
+    // Serves a new connection and takes ownership of its descriptor. May throw std::system_error.
     using Handler = std::function<void(int descriptor)>;
 
-    // `inheritedListener` is a descriptor that already listens at `address`, or -1. Throws std::system_error.
+    // `inheritedListener` is a descriptor that already listens at `address`, or -1 to create one. Throws
+    // std::system_error.
     ConnectionAcceptor(Scheduler& scheduler, UnopenedConnections& unopened,
                        const DescriptorBudget& descriptors, Metrics& metrics, const Address& address,
                        int inheritedListener, Handler handler);
@@ -26,9 +27,9 @@
     Address address() const { return listener_.local(); }
     int descriptor() const { return listener_.descriptor(); }
 
-    // Whether connections are accepted; otherwise they stay in the listen queue.
+    // Starts or stops accepting. While the acceptor is stopped, new connections wait in the listen queue.
     void setAccepting(bool accepting);
-    // Accepts connections for as long as the node runs.
+    // Accepts connections until the scheduler drops this task.
     Task<void> run();
 
   private:
--- a/src/proxy/connection_attempt.cpp
+++ b/src/proxy/connection_attempt.cpp
@@ -41,7 +41,8 @@
     return std::nullopt;
 }
 
-// The order of these checks decides what a request becomes when several things happen at once.
+// The order of the checks sets the result when several conditions hold at the same time: a newer decision
+// comes first, then the client, then the endpoint, then the deadline.
 std::optional<AttemptResult> ConnectionAttempt::poll() {
     polledAt_ = now();
     if (trackedRequest_.hasDecision() || (target_.resumed && connections_.migrationRequested))
@@ -66,10 +67,11 @@
     return prepareOpening();
 }
 
-// Connecting took time: what the decision was based on may have changed meanwhile.
+// Checks again, right before the first byte is sent, that the endpoint is eligible and has the same address:
+// either may have changed while the connection was being established.
 std::optional<AttemptResult> ConnectionAttempt::prepareOpening() {
     connections_.upstream.fill();
-    if (connections_.upstream.over()) return ended(Outcome::ConnectFailed);  // before it had the line
+    if (connections_.upstream.over()) return ended(Outcome::ConnectFailed);  // before the opening line
     const bool isStillValid = target_.resumed || tracker_.isStillValid(trackedRequest_, target_.endpoint);
     if (!isStillValid || connector_.addressOf(target_.endpoint) != address_) {
         ++metrics_.notSent;
--- a/src/proxy/connection_attempt.hpp
+++ b/src/proxy/connection_attempt.hpp
@@ -1,4 +1,4 @@
-// One attempt to establish a client's connection at an endpoint.
+// One attempt to establish a connection between a client and an endpoint.
 #pragma once
 
 #include <cstddef>
@@ -16,31 +16,32 @@
 
 class EndpointConnector;
 
-// Where an attempt goes.
+// The endpoint of an attempt and how long the attempt may take.
 struct AttemptTarget {
     EndpointId endpoint{};
     Micros timeout{0};
-    bool resumed =
-        false;  // the connection was established there before: sent whatever the endpoint list says
+    // The connection was established at this endpoint before: the opening line is sent even if the endpoint
+    // list or a ban excludes the endpoint.
+    bool resumed = false;
 };
 
 // The result of an attempt.
 struct AttemptResult {
     enum class Kind {
-        Up,               // the endpoint has accepted; its answer is the first line in the upstream buffer
-        Ended,            // with an outcome other than that
-        Cancelled,        // there is another decision by now, or the client is to be migrated
-        ClientAbandoned,  // the client has disconnected, or has sent more before its answer
+        Up,               // the endpoint accepted the request: UP is the first line in the upstream buffer
+        Ended,            // the attempt failed: see `outcome`
+        Cancelled,        // a newer decision is available, or the client is to be migrated
+        ClientAbandoned,  // the client disconnected, or sent data before its answer
     };
     Kind kind = Kind::Ended;
-    Outcome outcome = Outcome::ConnectFailed;  // of Kind::Ended
+    Outcome outcome = Outcome::ConnectFailed;  // for Kind::Ended only
     Micros elapsed{0};
     std::optional<LoadReport> load;
 };
 
-// Connects, sends the opening line and reads the answer. It never waits: its owner polls it whenever the
-// signal of the connections was raised, or the deadline has passed. Unless the endpoint has accepted, the
-// upstream connection is closed at the end.
+// Connects to an endpoint, sends the opening line and reads the answer. No function blocks: the owner calls
+// poll() whenever the signal of the connection pair is raised or deadline() has passed. When an attempt ends
+// with any result but Kind::Up, the upstream connection is closed.
 class ConnectionAttempt {
   public:
     ConnectionAttempt(const EndpointConnector& connector, const RequestTracker& tracker, Metrics& metrics,
@@ -48,11 +49,11 @@
                       const OpeningLine& opening, const AttemptTarget& target,
                       RequestClassMetrics& classMetrics);
 
-    // Begins to connect. Returns the result if the attempt has failed already.
+    // Starts to connect. Returns the result if this fails immediately.
     std::optional<AttemptResult> start();
-    // Does what can be done without waiting. Returns the result once the attempt has ended.
+    // Makes all progress that is possible without blocking. Returns the result once the attempt has ended.
     std::optional<AttemptResult> poll();
-    // When to poll again at the latest.
+    // The latest time of the next poll().
     Time deadline() const { return connected_ ? answerDeadline_ : connectDeadline_; }
 
   private:
@@ -79,8 +80,8 @@
     Time connectDeadline_;
     Time polledAt_;
     std::optional<Address> address_;
-    std::string openingText_;    // the opening line, once the connection is established
-    std::size_t sentBytes_ = 0;  // bytes of it
+    std::string openingText_;    // the opening line to send; empty until the connection is established
+    std::size_t sentBytes_ = 0;  // bytes of openingText_ that were sent
     bool connected_ = false;
 };
 
--- a/src/proxy/connection_pair.cpp
+++ b/src/proxy/connection_pair.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxDiscardedBytes = 256UL * 1024;  // of input after the last line
+constexpr std::size_t kMaxDiscardedBytes = 256UL * 1024;  // input that is read after the final line
 
 }  // namespace
 
@@ -24,7 +24,7 @@
         if (sent == line.size() && !std::exchange(sendingFinished, true)) client.socket.finishSending();
         discarded += client.in.size();
         client.in.drop(client.in.size());
-        // There may be more, but the other coroutines have their turn first.
+        // More input may be available: yield to the other coroutines before the next read.
         if (discarded < kMaxDiscardedBytes && client.fill()) connections.signal.raise();
         if (connections.evicted || (sendingFinished && client.over())) break;
         co_await connections.signal.wait(deadline);
--- a/src/proxy/connection_pair.hpp
+++ b/src/proxy/connection_pair.hpp
@@ -11,31 +11,32 @@
 
 namespace ivyreel {
 
-// How long the node waits for the peer to close a connection that the node has ended: the peer has a second.
+// How long the node waits for the peer to close a connection that the node has ended. The protocol gives the
+// peer 1 s.
 inline constexpr Micros kCloseTimeout = std::chrono::milliseconds(800);
 
-// The connections of one client, and the signal that both of them report to. Owned by the coroutine that
-// serves the client.
+// The two connections of a client, and the signal that the events of both raise. The coroutine that serves
+// the client owns the pair.
 struct ConnectionPair final : DecisionListener {
     // Takes ownership of the client's descriptor. Throws std::system_error.
     ConnectionPair(Scheduler& scheduler, int clientDescriptor)
         : signal(scheduler), client(Socket{signal, clientDescriptor}) {}
     void onDecision() override { signal.raise(); }
 
-    // Whether the client does not wait for its answer: it has disconnected, or has sent more.
+    // Whether the client no longer waits for an answer: it has disconnected, or has sent more data.
     bool clientAbandoned() const { return client.over() || !client.in.empty(); }
 
     Signal signal;
     Connection client;
     Connection upstream;
-    bool migrationRequested = false;  // the node shuts down: the client is to connect again elsewhere
-    Successor* successor = nullptr;   // who takes the connection over, if one does
-    bool evicted = false;             // to be closed, so that there is room for another connection
+    bool migrationRequested = false;  // set at shutdown: the client is to reconnect elsewhere
+    Successor* successor = nullptr;   // set to the process that is to take over the connection
+    bool evicted = false;             // set to close the connection and free its descriptor
 };
 
-// Sends a last line to the client, ends the connection and waits up to kCloseTimeout for the client to do so
-// too. A limited amount of input is read and discarded meanwhile: closing a socket with unread input would
-// reset the connection and destroy the line on its way.
+// Sends a final line to the client, shuts down the sending side and waits up to kCloseTimeout for the client
+// to close the connection. Meanwhile, a limited amount of input is read and discarded: closing a socket with
+// unread input would reset the connection, and the client could lose the line.
 Task<void> closeWithFinalLine(ConnectionPair& connections, std::string line);
 
 }  // namespace ivyreel
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr std::size_t kUnopenedShareDivisor = 6;   // one descriptor in six is for unopened connections
+constexpr std::size_t kUnopenedShareDivisor = 6;   // unopened connections get one descriptor in six
 constexpr std::size_t kDescriptorsPerRequest = 2;  // downstream and upstream
-// For new health checks, the connections of one accept batch and descriptors that are not watched.
+// For new health checks, the connections of one accept batch, and descriptors that the scheduler does not
+// watch.
 constexpr std::size_t kReservedDescriptors = 16;
 
 }  // namespace
@@ -22,7 +23,8 @@
     return !full();
 }
 
-// A pending request counts twice although it may have no upstream connection yet.
+// Each pending request counts as one more descriptor, for the upstream connection that it may not have yet.
+// The unopened connections count with their whole share instead of their number.
 bool DescriptorBudget::full() const {
     const std::size_t inUse = scheduler_.descriptors() + active_.pending.size() - unopened_.size();
     return inUse + maxUnopened() + kDescriptorsPerRequest + kReservedDescriptors > limit_;
--- a/src/proxy/descriptor_budget.hpp
+++ b/src/proxy/descriptor_budget.hpp
@@ -1,4 +1,4 @@
-// How the descriptors of the node are divided between unopened connections, requests and the rest.
+// Divides the file descriptors of the node between unopened connections, requests and other uses.
 #pragma once
 
 #include <cstddef>
@@ -10,8 +10,9 @@
 
 namespace ivyreel {
 
-// Decides whether there are descriptors for one more request. Unopened connections have a fixed share; some
-// descriptors stay free for discovery, new health checks and what the scheduler does not watch.
+// Decides whether enough descriptors are free for one more request. Unopened connections have a fixed share,
+// and some descriptors are reserved for discovery, new health checks and descriptors that the scheduler does
+// not watch.
 class DescriptorBudget {
   public:
     DescriptorBudget(const Scheduler& scheduler, HealthChecker& healthChecker,
@@ -22,14 +23,14 @@
           active_(active),
           limit_(limit) {}
 
-    // How many descriptors the node may have open in all.
+    // The maximum number of descriptors that the node may have open.
     std::size_t limit() const { return limit_; }
     void setLimit(std::size_t limit) { limit_ = limit; }
 
-    // How many connections without a request there may be.
+    // The maximum number of unopened connections (unopened_connections.hpp).
     std::size_t maxUnopened() const;
-    // Whether there are descriptors for one more request. If not, idle health-check connections are closed
-    // first.
+    // Whether enough descriptors are free for one more request. If they are not, this closes the idle
+    // connections of health checks and checks once more.
     bool admitsRequest();
 
   private:
--- a/src/proxy/endpoint_connector.hpp
+++ b/src/proxy/endpoint_connector.hpp
@@ -1,4 +1,4 @@
-// The addresses of the endpoints, and attempts to connect to them.
+// Keeps the addresses of the endpoints and runs connection attempts.
 #pragma once
 
 #include <optional>
@@ -23,8 +23,9 @@
     void forgetAddresses() { addresses_.clear(); }
     std::optional<Address> addressOf(EndpointId endpoint) const;
 
-    // Sends the opening line to an endpoint and waits for its answer. If the endpoint has accepted, its
-    // answer is the first line in the buffer of the upstream connection; otherwise that is closed.
+    // Runs one attempt: sends the opening line to the target and waits for the answer. With
+    // AttemptResult::Kind::Up, the answer is the first line in the buffer of the upstream connection; with
+    // any other result, the upstream connection is closed.
     Task<AttemptResult> attempt(ConnectionPair& connections, const TrackedRequest& trackedRequest,
                                 const OpeningLine& opening, AttemptTarget target,
                                 RequestClassMetrics& classMetrics);
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -13,14 +13,14 @@
 
 using namespace std::chrono_literals;
 
-// The load balancer in front goes on sending connections for so long after SIGTERM.
+// How long after SIGTERM the load balancer in front of the node may still send connections.
 constexpr Micros kLoadBalancerReactionTime = 450ms;
-// SIGKILL comes no sooner after SIGTERM than the longest client timeout, cut to the first of these, plus the
-// second.
+// The earliest SIGKILL follows SIGTERM by the longest client timeout, capped at kMaxClientTimeoutBeforeKill,
+// plus kExtraTimeBeforeKill.
 constexpr Micros kMaxClientTimeoutBeforeKill = 3s;
 constexpr Micros kExtraTimeBeforeKill = 700ms;
 constexpr Micros kMarginBeforeKill = 500ms;  // between the last migration and SIGKILL
-constexpr Micros kStepInterval = 50ms;
+constexpr Micros kStepInterval = 50ms;       // between two steps of the migration
 
 }  // namespace
 
@@ -51,7 +51,8 @@
     }
 }
 
-// Migrates as many of the connections that are left as make even steps in the time left.
+// Migrates an equal share of the remaining connections in each step, so that the last of them are migrated by
+// the deadline.
 void GracefulShutdown::migrateShare(Micros timeLeft) const {
     std::vector<ConnectionPair*> remaining;
     std::copy_if(active_.established.begin(), active_.established.end(), std::back_inserter(remaining),
@@ -64,7 +65,8 @@
     }
 }
 
-// Requests without an answer would be lost with the node. Abandoning one does not unregister it at once.
+// Requests without an answer would be lost when the node is killed. RequestTracker::abandon() leaves
+// active_.pending unchanged, so the loop stays valid.
 void GracefulShutdown::failPendingRequests() {
     for (TrackedRequest* trackedRequest : active_.pending) {
         tracker_.abandon(*trackedRequest);
--- a/src/proxy/graceful_shutdown.hpp
+++ b/src/proxy/graceful_shutdown.hpp
@@ -1,4 +1,4 @@
-// The graceful shutdown of a node: its clients are migrated or handed over before it is killed.
+// The graceful shutdown of a node: migrates or hands over its connections before the process is killed.
 #pragma once
 
 #include <functional>
@@ -11,17 +11,17 @@
 
 namespace ivyreel {
 
-// Connections go to the successor as soon as they are established, if there is one. Otherwise the node serves
-// them for a while and then migrates them in even steps, so that the load on the other nodes rises slowly and
-// a node that was restarted before this one is back by then.
+// While a successor serves, the node hands over each connection as soon as it is established. Otherwise the
+// node goes on relaying its connections at first and then migrates them in even steps, so that the load on
+// the other nodes rises slowly and a node that was restarted before this one serves again by then.
 class GracefulShutdown {
   public:
     GracefulShutdown(Scheduler& scheduler, RequestTracker& tracker, ActiveConnections& active,
                      const RecentRequestIds& recentRequestIds)
         : scheduler_(scheduler), tracker_(tracker), active_(active), recentRequestIds_(recentRequestIds) {}
 
-    // Calls `drained` once no request is open. Goes on for as long as the node runs: what is accepted later
-    // is served and migrated too.
+    // Calls `drained` once, when the migration has started and no request is open. The task goes on until the
+    // scheduler drops it, so that connections accepted later are served and migrated too.
     Task<void> run(Successor& successor, std::function<void()> drained);
 
   private:
--- a/src/proxy/opening_reader.cpp
+++ b/src/proxy/opening_reader.cpp
@@ -16,8 +16,8 @@
 
 constexpr Micros kOpeningTimeout = 2s;
 constexpr Micros kServingPollInterval = 20ms;
-constexpr int kMaxLinesBeforeYield = 16;                 // before the other coroutines have their turn
-constexpr double kMaxClientTimeoutMs = 24 * 3600 * 1e3;  // a day
+constexpr int kMaxLinesBeforeYield = 16;  // health checks answered before yielding to the other coroutines
+constexpr double kMaxClientTimeoutMs = 24 * 3600 * 1e3;  // one day
 
 bool hasNumberWithin(const OpeningLine& opening, std::string_view attribute, double max) {
     const auto value = opening.number(attribute);
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-// What is wrong with an opening line that could be parsed.
+// Returns why a well-formed opening line is rejected; none if it is valid.
 std::optional<InputError> OpeningReader::validate(const OpeningLine& opening) {
     if (!tracker_.knowsRequestClass(opening.value(opening_attribute::kRequestClass)))
         return InputError::UnknownClass;
@@ -40,7 +40,8 @@
     return std::nullopt;
 }
 
-// Removes the line from the buffer. Input that is malformed or names no known class counts for no class.
+// Parses and validates the line, and removes it from the buffer. Input that is malformed or has an unknown
+// class appears in the metrics of no class.
 OpeningReader::Validated OpeningReader::takeOpening(Connection& client, const Line& line) {
     std::optional<OpeningLine> opening = OpeningLine::parse(line.text);
     client.in.drop(line.bytes);
@@ -61,7 +62,7 @@
     }
 }
 
-// Whether no opening line will be read any more; counts why.
+// Whether the wait for an opening line has ended without one. Counts the cause.
 bool OpeningReader::hasEnded(const ConnectionPair& connections, Time deadline) {
     const Connection& client = connections.client;
     if (client.over()) {
@@ -79,7 +80,7 @@
     const Time deadline = scheduler_.now() + kOpeningTimeout;
     int healthChecks = 0;
     for (;;) {
-        if (client.fill()) connections.signal.raise();  // there may be more than a buffer holds
+        if (client.fill()) connections.signal.raise();  // more input may be available
         while (const auto line = firstLine(client.in.view())) {
             if (line->text != keyword::kPing) {
                 Validated validated = takeOpening(client, *line);
--- a/src/proxy/opening_reader.hpp
+++ b/src/proxy/opening_reader.hpp
@@ -14,8 +14,8 @@
 
 namespace ivyreel {
 
-// Answers the health checks of the load balancer in front of the node until a connection brings its opening
-// line, and rejects what is no valid one.
+// Reads each downstream connection up to its opening line. Answers the health checks that the load balancer
+// in front of the node sends before that line, and rejects invalid input.
 class OpeningReader {
   public:
     OpeningReader(const Scheduler& scheduler, const RequestTracker& tracker,
@@ -26,11 +26,12 @@
           metrics_(metrics),
           responses_(metrics) {}
 
-    // Whether health checks are answered. Until then they wait.
+    // Enables or disables the answers to health checks. While they are disabled, health checks wait for up to
+    // the opening timeout.
     void setServing(bool serving) { serving_ = serving; }
 
-    // The opening line of a valid request. Without one the connection is done with: it was answered and
-    // closed, or it ended, timed out or was evicted.
+    // Returns the opening line of a valid request. None if there will be no request: the input was rejected
+    // and the connection closed, or the connection ended, timed out or was evicted.
     Task<std::optional<OpeningLine>> read(ConnectionPair& connections);
 
   private:
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -38,7 +38,7 @@
         const std::optional<OpeningLine> opening = co_await openingReader_.read(connections);
         if (!opening) co_return;
         unopened.reset();
-        connections.evicted = false;  // its opening line was read first
+        connections.evicted = false;  // the opening line arrived before the eviction took effect
         ++metrics_.requests;
         const OpenRequest request{recentRequestIds_, scheduler_, opening->id()};
         RequestSession session{sessionContext_, connections, *opening};
--- a/src/proxy/proxy_server.hpp
+++ b/src/proxy/proxy_server.hpp
@@ -1,4 +1,4 @@
-// The proxy's downstream side: accepts connections, reads their opening lines and runs their sessions.
+// The downstream side of the proxy: accepts connections, reads their opening lines and runs their sessions.
 #pragma once
 
 #include <cstddef>
@@ -27,38 +27,39 @@
 
 class ProxyServer {
   public:
-    // `inheritedListener` is a descriptor that already listens at `listen`, or -1; `descriptorLimit` is how
-    // many descriptors the node may have open in all. Throws std::system_error.
+    // `inheritedListener` is a descriptor that already listens at `listen`, or -1 to create one;
+    // `descriptorLimit` is the maximum number of descriptors that the node may have open. Throws
+    // std::system_error.
     ProxyServer(Scheduler& scheduler, RequestTracker& tracker, EndpointConnector& connector,
                 HealthChecker& healthChecker, Metrics& metrics, const Address& listen, int inheritedListener,
                 std::size_t descriptorLimit);
 
     Address address() const { return acceptor_.address(); }
-    // The descriptor that listens.
+    // The descriptor of the listening socket.
     int listener() const { return acceptor_.descriptor(); }
 
-    // Accepts connections for as long as the node runs.
+    // Accepts connections until the scheduler drops this task.
     Task<void> accept() { return acceptor_.run(); }
-    // Whether connections are accepted; otherwise they stay in the listen queue.
+    // Starts or stops accepting. While the server does not accept, new connections wait in the listen queue.
     void setAccepting(bool accepting) { acceptor_.setAccepting(accepting); }
-    // From now on health checks are answered, unless the node is shutting down.
+    // Enables the answers to health checks, unless the node is shutting down.
     void startServing() { openingReader_.setServing(!shuttingDown_); }
-    // How many descriptors the node may have open in all from now on.
+    // Changes the maximum number of descriptors that the node may have open.
     void setDescriptorLimit(std::size_t limit) { descriptors_.setLimit(limit); }
 
-    // The ids of the requests that are open or ended recently.
+    // The ids of the requests that are open or have ended recently.
     std::vector<std::uint64_t> requestIds() const { return recentRequestIds_.all(); }
-    // Adds those of another node.
+    // Adds the request ids of the predecessor.
     void importRequestIds(const std::vector<std::uint64_t>& ids) {
         recentRequestIds_.addEnded(ids, scheduler_.now());
     }
-    // How many requests are open.
+    // The number of open requests.
     std::size_t openRequestCount() const { return recentRequestIds_.openCount(); }
 
-    // Begins a graceful shutdown, which goes on for as long as the node runs; `drained` is called when no
-    // request is open any more.
+    // Starts a graceful shutdown and returns its task, which runs until the scheduler drops it. `drained` is
+    // called once (see GracefulShutdown::run).
     Task<void> drain(Successor& successor, std::function<void()> drained);
-    // Takes over a connection that another node has established.
+    // Takes over an established connection of the predecessor, with its descriptors.
     void adopt(const EstablishedConnection& connection);
 
   private:
--- a/src/proxy/recent_request_ids.hpp
+++ b/src/proxy/recent_request_ids.hpp
@@ -1,4 +1,4 @@
-// The ids of requests that are open or ended recently, to detect duplicate ids.
+// The ids of requests that are open or have ended recently, to detect duplicate ids.
 #pragma once
 
 #include <cstddef>
@@ -11,20 +11,20 @@
 
 namespace ivyreel {
 
-// Counts the open requests, and remembers the id of each for a while after its end: every connection has a
-// new id, so an id that is known belongs to a copied opening line.
+// Counts the open requests, and keeps the id of each request for a while after the request has ended. Every
+// connection has a new id, so an opening line with a known id is a copy.
 class RecentRequestIds {
   public:
     void open(std::uint64_t id);
     void close(std::uint64_t id, Time now);
-    // Adds the ids of another node's requests as if they ended now. Those that are known stay as they are.
+    // Adds the ids of another node's requests as ended at `now`. Ids that are known already stay unchanged.
     void addEnded(const std::vector<std::uint64_t>& ids, Time now);
 
-    // Whether the id is that of a request that is open or ended recently.
+    // Whether a request with this id is open or has ended recently. Removes expired ids.
     bool isKnown(std::uint64_t id, Time now);
-    // All ids that are known, in no order.
+    // All known ids, in unspecified order.
     std::vector<std::uint64_t> all() const { return {ids_.begin(), ids_.end()}; }
-    // How many requests are open.
+    // The number of open requests.
     std::size_t openCount() const { return openCount_; }
 
   private:
@@ -36,11 +36,11 @@
     void removeExpired(Time now);
 
     std::size_t openCount_ = 0;
-    std::unordered_set<std::uint64_t> ids_;  // of open requests and of those that ended recently
-    std::deque<EndedRequest> ended_;         // the latter, the oldest first
+    std::unordered_set<std::uint64_t> ids_;  // of the open requests and of those in ended_
+    std::deque<EndedRequest> ended_;         // requests that have ended recently, oldest first
 };
 
-// A request that is open for as long as this object lives.
+// Marks a request as open from the construction to the destruction of this object.
 class OpenRequest {
   public:
     OpenRequest(RecentRequestIds& ids, const Scheduler& scheduler, std::uint64_t id)
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -16,9 +16,9 @@
 
 using namespace std::chrono_literals;
 
-// Clients send every 2 s, so one whose endpoint has gone silent waits for less than 7 s in all.
+// Clients send a line every 2 s, so the client of an unresponsive endpoint waits for less than 7 s in total.
 constexpr Micros kUnresponsiveTimeout = 4s;
-constexpr int kMaxStepsBeforeYield = 8;  // before the other coroutines have their turn
+constexpr int kMaxStepsBeforeYield = 8;  // before this coroutine yields to the others
 
 }  // namespace
 
@@ -66,8 +66,8 @@
     }
 }
 
-// If there is a successor and both sides are open, stores for it what is buffered. Only called between two
-// steps.
+// If a successor serves and both connections are open, stores the buffered bytes in the state and returns
+// true. To be called between two steps only.
 bool Relay::prepareHandover() {
     if (connections_.client.over() || connections_.upstream.over()) return false;
     if (connections_.successor == nullptr || !connections_.successor->serves()) return false;
@@ -77,8 +77,8 @@
     return true;
 }
 
-// Reads and writes what is possible without waiting. Returns false when no progress was made, or a line is
-// too long.
+// Reads and writes as much as possible without blocking. Returns false if there was no progress, or if a line
+// exceeds the maximum length.
 bool Relay::step() {
     bool progress = connections_.client.fill();
     progress = connections_.upstream.fill() || progress;
@@ -144,8 +144,8 @@
     }
 }
 
-// Sends the client what has arrived and ends its connection as the endpoint ended its own: a reset with a
-// reset.
+// Sends the remaining upstream input to the client and ends the client's connection in the way in which the
+// endpoint ended its own: if the endpoint reset the connection without a notice, the client gets a reset too.
 Task<void> Relay::closeAfterUpstreamEnd() {
     const bool reset = connections_.upstream.broken;
     reportUpstreamEnd();
@@ -161,8 +161,8 @@
     co_await closeWithFinalLine(connections_, rest);
 }
 
-// Sends the endpoint what has arrived and ends its connection as the client ended its own. What the endpoint
-// still sends is relayed.
+// Sends the remaining client input to the endpoint and ends the upstream connection in the way in which the
+// client ended its own. Until kCloseTimeout, the lines that the endpoint still sends are relayed.
 Task<void> Relay::closeAfterClientEnd() {
     ++metrics_.closedByClient;
     if (connections_.client.broken) {
@@ -189,7 +189,7 @@
     tracker_.connectionEnded(trackedRequest_, outcome, finalLoad_);
 }
 
-// Sends the client the lines that are complete, then MOVE, and closes both sides.
+// Sends the complete upstream lines and then MOVE to the client, and closes both connections.
 Task<void> Relay::migrate() {
     connections_.upstream.socket.close();
     connections_.upstream.in.keep(state_.toClient);
--- a/src/proxy/relay.hpp
+++ b/src/proxy/relay.hpp
@@ -12,12 +12,12 @@
 
 namespace ivyreel {
 
-// Relays complete lines in both directions until one side ends, the client is migrated, or the connection is
-// handed over to a successor. Reports to the tracker what the endpoint's lines say and how the connection
-// ended. All that it is given must outlive run().
+// Relays complete lines in both directions until one side ends its connection, the client is migrated, or the
+// connections are handed over to a successor. Reports the load figures, end notices and message delays of the
+// endpoint to the tracker, and how the connection ended. All constructor arguments must outlive run().
 class Relay {
   public:
-    // `state` holds what is buffered when the relay begins, and afterwards what is to be handed over.
+    // `state` holds the buffered bytes when the relay starts and, if run() returns true, those to hand over.
     Relay(ConnectionPair& connections, TrackedRequest& trackedRequest, RequestTracker& tracker,
           Metrics& metrics, RelayState& state)
         : connections_(connections),
@@ -26,11 +26,11 @@
           metrics_(metrics),
           state_(state) {}
 
-    // Relays to the end. Returns true if both sides are still open and are to be handed over.
+    // Runs the relay. Returns true if both connections are still open and are to be handed over.
     Task<bool> run();
 
   private:
-    // What the endpoint said last about the end of the connection.
+    // The latest notice of the endpoint that it ends the connection: BYE (Completed) or MOVE (Migrate).
     enum class EndNotice { None, Completed, Migrate };
 
     bool step();
@@ -51,7 +51,7 @@
     RelayState& state_;
     EndNotice endNotice_ = EndNotice::None;
     bool overlongLine_ = false;
-    std::optional<LoadReport> finalLoad_;  // sent with the end notice
+    std::optional<LoadReport> finalLoad_;  // the load report of the BYE line
 };
 
 }  // namespace ivyreel
--- a/src/proxy/request_session.cpp
+++ b/src/proxy/request_session.cpp
@@ -35,8 +35,8 @@
     return result;
 }
 
-// None if the client has disconnected or sent more. That ends the request at once, so that no endpoint is
-// tried for it.
+// Waits for the next decision. Returns none as soon as the client has disconnected or sent more data, so that
+// no further attempt is made for it.
 Task<std::optional<Decision>> RequestSession::awaitDecision(TrackedRequest& trackedRequest) {
     for (;;) {
         connections_.client.fill();
@@ -109,7 +109,8 @@
     co_await responses_.sendFailure(connections_, classMetrics);
 }
 
-// Returns false if the client has disconnected or sent more meanwhile.
+// Waits until the next attempt to resume is due. Returns false if the client has disconnected or sent more
+// data in the meantime.
 Task<bool> RequestSession::waitBeforeRetry() {
     const Time retryAt = context_.scheduler.now() + kResumeRetryInterval;
     while (context_.scheduler.now() < retryAt && !connections_.migrationRequested) {
@@ -131,7 +132,7 @@
          connections_.client.socket.release(), connections_.upstream.socket.release()});
 }
 
-// The client has disconnected before its answer, or has sent more without waiting for it.
+// Ends the request of a client that has disconnected, or has sent more data, before its answer.
 Task<void> RequestSession::abandon(TrackedRequest& trackedRequest, RequestClassMetrics& classMetrics) {
     context_.tracker.abandon(trackedRequest);
     if (!connections_.client.in.empty())
--- a/src/proxy/request_session.hpp
+++ b/src/proxy/request_session.hpp
@@ -1,4 +1,4 @@
-// The life of one request: attempts until an endpoint has accepted it, then the relay.
+// Serves one request: attempts until an endpoint accepts the request, then the relay.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
 
 namespace ivyreel {
 
-// What all sessions of a node share.
+// The objects that all sessions of a node share.
 struct SessionContext {
     Scheduler& scheduler;
     RequestTracker& tracker;
@@ -24,22 +24,22 @@
     ActiveConnections& active;
 };
 
-// Serves the client of one connection pair. All that it is given must outlive the tasks it returns, and it
-// must itself.
+// Serves the client of one connection pair. The session and all its constructor arguments must outlive the
+// tasks that its functions return.
 class RequestSession {
   public:
     RequestSession(const SessionContext& context, ConnectionPair& connections, const OpeningLine& opening)
         : context_(context), connections_(connections), opening_(opening), responses_(context.metrics) {}
 
-    // A new request: forwards it as the decision module says until an endpoint has accepted it, or it is
-    // rejected or has failed.
+    // Serves a new request: makes the attempts that the decision module decides until an endpoint accepts the
+    // request, which is then relayed, or until the request is rejected or fails.
     Task<void> serveNewRequest(RequestClassMetrics& classMetrics);
-    // A connection that was established at an endpoint before this node started: connects to that endpoint
-    // again.
+    // Resumes a connection that was established at an endpoint before this node started: reconnects to that
+    // endpoint, then relays the connection.
     Task<void> resume(RequestClassMetrics& classMetrics);
-    // Relays an established connection until it ends or is handed over to a successor.
+    // Relays an established connection until the connection ends or is handed over to a successor.
     Task<void> relay(TrackedRequest& trackedRequest, RelayState& state);
-    // What the opening line says of the request. Refers to it.
+    // The attributes of the request in the opening line. The result refers to the opening line.
     RequestAttributes attributes() const;
 
   private:
--- a/src/proxy/unopened_connections.cpp
+++ b/src/proxy/unopened_connections.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// Whatever arrived together with a connection has been read by then.
+// Within this time the node has read an opening line that arrived together with the connection.
 constexpr Micros kMinAgeForEviction = 10ms;
 
 }  // namespace
--- a/src/proxy/unopened_connections.hpp
+++ b/src/proxy/unopened_connections.hpp
@@ -1,4 +1,4 @@
-// The downstream connections that carry no request, and the eviction of the oldest of them.
+// The unopened downstream connections, which carry no request, and the eviction of the oldest of them.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +12,26 @@
 
 class UnopenedConnection;
 
-// All connections that carry no request: their opening line has not been read, or it was rejected. Their
-// number is bounded, so that idle or misbehaving peers cannot use up the descriptors of the others.
+// All connections whose opening line has not been read or was rejected. Their number is bounded, so that idle
+// or misbehaving peers cannot exhaust the descriptors that requests need.
 class UnopenedConnections {
   public:
     explicit UnopenedConnections(Metrics& metrics) : metrics_(metrics) {}
 
     std::size_t size() const { return connections_.size(); }
 
-    // Evicts the oldest one if there are `limit` or more. Returns kNever, or the time to call again if the
-    // oldest one is so new that its opening line may not have been read yet.
+    // Evicts the oldest connection if there are at least `limit`. If the oldest connection is so new that its
+    // opening line may not have been read yet, evicts none and returns when to call this again; otherwise
+    // returns kNever.
     Time makeRoom(std::size_t limit, Time now);
 
   private:
     friend class UnopenedConnection;
     Metrics& metrics_;
-    std::list<UnopenedConnection*> connections_;  // the oldest first
+    std::list<UnopenedConnection*> connections_;  // oldest first
 };
 
-// Keeps a connection registered as unopened for as long as this object lives.
+// Registers a connection as unopened until the connection is evicted or this object is destroyed.
 class UnopenedConnection {
   public:
     UnopenedConnection(UnopenedConnections& registry, ConnectionPair& connections);
@@ -41,7 +42,7 @@
     ~UnopenedConnection();
 
     Time acceptedAt() const { return acceptedAt_; }
-    // Removes the connection from the registry and tells its owner to close it.
+    // Removes the connection from the registry and signals the owner to close the connection.
     void evict();
 
   private:
--- a/tests/admin_api_test.cpp
+++ b/tests/admin_api_test.cpp
@@ -1,4 +1,4 @@
-// The calls of operators without a network, and the formats of the metrics.
+// Tests the admin API without a network, and the formats of the metrics.
 #include "admin/admin_api.hpp"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,8 @@
     EXPECT_EQ(node.disabledEndpoint, "s/1");
     EXPECT_EQ(handleAdminRequest(node, "POST", "/-/hosts/s%2f1/enable").status, 200);
     EXPECT_EQ(node.disabledEndpoint, "");
-    EXPECT_EQ(handleAdminRequest(node, "POST", "/-/hosts/s%2/disable").status, 400) << "a broken escape";
+    EXPECT_EQ(handleAdminRequest(node, "POST", "/-/hosts/s%2/disable").status, 400)
+        << "malformed percent escape";
     EXPECT_EQ(handleAdminRequest(node, "POST", "/-/hosts/s-2/disable").status, 404) << "unknown";
     EXPECT_EQ(handleAdminRequest(node, "GET", "/-/hosts/s-1/disable").allowedMethod, "POST");
 }
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -1,4 +1,5 @@
-// The admin server of a node on loopback sockets: calls, metrics, endpoints disabled by operators.
+// Tests the admin server of a node on loopback sockets: requests, metrics, and endpoints disabled by
+// operators.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,7 +16,7 @@
     return options;
 }
 
-// Waits until a metric has reached a value.
+// Waits until a metric has this value.
 void awaitMetric(const NodeProcess& node, const std::string& name, long value) {
     while (node.metric(name) != value) {
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -33,10 +34,11 @@
     EXPECT_EQ(node.adminRequest("POST", "/-/ready").first, 405);
     EXPECT_EQ(node.adminRequest("GET", "/-/hosts/s-1/disable").first, 405);
     EXPECT_EQ(node.adminRequest("POST", "/-/hosts/s-1/remove").first, 404);
-    EXPECT_EQ(node.adminRequest("POST", "/-/hosts/s-9/disable").first, 404) << "never listed";
+    EXPECT_EQ(node.adminRequest("POST", "/-/hosts/s-9/disable").first, 404)
+        << "the endpoint was never listed";
     EXPECT_EQ(node.adminRequest("POST", "/-/hosts/%zz/disable").first, 400);
     EXPECT_EQ(node.adminRequest("POST", "/-/hosts//disable").first, 400);
-    EXPECT_EQ(node.adminRequest("POST", "/-/hosts/%73-1/disable").first, 200) << "s-1, percent-encoded";
+    EXPECT_EQ(node.adminRequest("POST", "/-/hosts/%73-1/disable").first, 200) << "%73-1 is s-1";
     EXPECT_EQ(NodeProcess::readAdminResponse(node.connectToAdminServer("what is this\r\n")).first, 400);
     EXPECT_EQ(NodeProcess::readAdminResponse(node.connectToAdminServer(std::string(9000, 'x'))).first, 400);
     EXPECT_EQ(node.stop(), 0) << node.remainingLog();
@@ -49,7 +51,7 @@
     for (const char c : std::string("POST /-/hosts/s-1/disable HTTP/1.1\r\nContent-Length: 2\r\n\r\n")) {
         slow.send({&c, 1});
     }
-    EXPECT_EQ(node.metric("cluster_unhealthy"), 0) << "the call is not complete yet";
+    EXPECT_EQ(node.metric("cluster_unhealthy"), 0) << "the request is incomplete";
     slow.send("xx" + std::string(100'000, 'y'));
     EXPECT_EQ(NodeProcess::readAdminResponse(std::move(slow)).first, 200);
     EXPECT_EQ(node.metric("cluster_unhealthy"), 1);
@@ -70,7 +72,7 @@
     EXPECT_EQ(node.metric("current"), 1);
 }
 
-// By what clients and endpoints saw.
+// Compares the metrics with the answers that the clients and the endpoints received.
 TEST(AdminServer, CountsEachRequestOnce) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
@@ -102,13 +104,13 @@
     expectClosed(out.connection);
     EXPECT_EQ(node.adminRequest("POST", "/-/hosts/s-1/disable").first, 200);
     TestConnection deferred = node.client(newOpeningLine());
-    EXPECT_TRUE(deferred.line().starts_with("BUSY")) << "no endpoint is left";
+    EXPECT_TRUE(deferred.line().starts_with("BUSY")) << "no endpoint is available";
     deferred.close();
     awaitMetric(node, "transactions.chat.deferred", 1);
     EXPECT_EQ(node.metric("transactions.chat.answered"), 2);
-    EXPECT_EQ(node.metric("transactions.chat.errored"), 3) << "ERR, a reset, a deadline that is not a number";
+    EXPECT_EQ(node.metric("transactions.chat.errored"), 3) << "ERR, a reset, a malformed timeout";
     EXPECT_EQ(node.metric("transactions.chat.sends"), 5)
-        << "two established, ERR, a reset, one whose client disconnected";
+        << "two established, one ERR, one reset, one whose client disconnected";
 }
 
 constexpr int kMaxFetches = 100'000;
@@ -135,10 +137,11 @@
     const long stale = node.metric("list_stale_ms");
     EXPECT_GE(stale, staleBefore);
     int fetches = 0;
-    while (node.metric("list_age_ms") < 5) {  // grows until discovery sends something
+    while (node.metric("list_age_ms") < 5) {  // grows until the next message from discovery
         ASSERT_LT(++fetches, kMaxFetches);
     }
-    EXPECT_EQ(node.metric("list_stale_ms"), stale) << "a watch is open";
+    EXPECT_EQ(node.metric("list_stale_ms"), stale)
+        << "the time without a watch does not grow while a watch is open";
     node.signal(SIGUSR1);
     EXPECT_NE(node.awaitLogLine("counters:").find(" list_state=live "), std::string::npos);
 }
@@ -160,7 +163,7 @@
     for (int i = 0; i < 10; ++i) {
         establishConnection(node, two);
     }
-    // It leaves the list, returns to it, and a full list follows.
+    // The endpoint leaves the list and returns, and a full list follows.
     watch.line(R"({"version":42,"full":false,"servers":[)" + endpointEntry("s-1", one.address(), "left") +
                "]}");
     watch.line(R"({"version":43,"full":false,"servers":[)" + endpointEntry("s-1", one.address()) + "]}");
--- a/tests/node_attempt_test.cpp
+++ b/tests/node_attempt_test.cpp
@@ -1,4 +1,4 @@
-// A node process from outside: attempts, retries, and connections that are resumed.
+// Tests a node process through its sockets: attempts, retries and resumed connections.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -20,7 +20,7 @@
     EXPECT_EQ(node.counter("bad_early"), 1);
 }
 
-// The attempt has failed as soon as the answer exceeds the longest line.
+// An attempt fails as soon as the answer exceeds the maximum line length, before a line end arrives.
 TEST(NodeAttempt, RetriesAfterAnOverlongAnswer) {
     StubServer server;
     NodeProcess node{optionsFor(server)};
@@ -34,8 +34,8 @@
     EXPECT_EQ(node.counter("attempts"), 2);
 }
 
-// Rejects attempts at one endpoint until one at the other is accepted; the connection that is established
-// then.
+// Answers BUSY to each attempt at one endpoint until an attempt reaches the other, accepts that one and
+// returns its connection.
 TestConnection rejectUntilAccepted(StubServer& rejecting, StubServer& accepting) {
     while (accepting.idle()) {
         if (!rejecting.idle()) rejecting.next().connection.send("BUSY\r\n");
@@ -45,7 +45,8 @@
     return std::move(opened.connection);
 }
 
-// Safe for every class: an endpoint that rejected the request, or could not be reached, has not run it.
+// A retry is safe for every request class if the endpoint rejected the request or was unreachable: the
+// endpoint has not run the request.
 TEST(NodeAttempt, RetriesANonIdempotentRequestThatNoEndpointHasRun) {
     StubServer one;
     StubServer two;
--- a/tests/node_descriptors_test.cpp
+++ b/tests/node_descriptors_test.cpp
@@ -1,4 +1,4 @@
-// A node process from outside: what it does when descriptors are scarce.
+// Tests a node process through its sockets while descriptors are scarce.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -22,7 +22,7 @@
         TestConnection client = node.client(newOpeningLine());
         awaitRequestOrAnswer(server, client);
         if (server.idle()) {
-            EXPECT_EQ(client.line(), "BUSY 500") << "with the time to retry after";
+            EXPECT_EQ(client.line(), "BUSY 500") << "BUSY contains the time after which to retry";
             break;
         }
         auto opened = server.next();
@@ -34,7 +34,8 @@
     EXPECT_LT(pairs.size(), 30U);
 }
 
-// Hundreds that send nothing, or one health check: established connections stay, and new clients are served.
+// Guards against hundreds of connections that send nothing, or only one health check, and exhaust the
+// descriptors: established connections have to stay open and new clients have to be served.
 TEST(NodeDescriptors, ServesClientsAmongHundredsOfUnopenedConnections) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
@@ -57,11 +58,12 @@
     }
     expectClosed(flood.front());
     EXPECT_GE(node.counter("evicted") + node.counter("opening_timeouts"), 190)
-        << "a sixth of the descriptors is for unopened connections";
+        << "unopened connections get a sixth of the descriptors";
     EXPECT_EQ(node.counter("out_of_descriptors"), 0);
 }
 
-// To read the file and to connect to discovery it needs descriptors beside those of its clients.
+// A reload needs descriptors to read the file and to connect to discovery. It must not fail because clients
+// use all descriptors.
 TEST(NodeDescriptors, AppliesANewConfigurationWhileClientsUseUpItsDescriptors) {
     StubServer server;
     StubDiscovery second;
@@ -96,18 +98,19 @@
     }
     for (EstablishedPair& pair : pairs) {
         pair.client.send("x\r\n");
-        EXPECT_EQ(pair.server.line(), "x") << "established connections stay";
+        EXPECT_EQ(pair.server.line(), "x") << "established connections stay open";
     }
 }
 
-// A request that waits while no endpoint is known holds one descriptor now and a second one later.
+// A pending request uses one descriptor while no endpoint is known and needs a second one for its attempt.
+// Attempts must not fail because the node admitted more requests than it has descriptors for.
 TEST(NodeDescriptors, HasDescriptorsForAllPendingRequestsOnceDiscoveryIsBack) {
     StubServer server;
     StubDiscovery discovery;
     NodeProcess::Options options;
     options.discovery = discovery.address();
     options.descriptorLimit = 96;
-    options.processDescriptorLimit = 104;  // some are not sockets
+    options.processDescriptorLimit = 104;  // some descriptors are not sockets
     NodeProcess node{options};
     std::vector<TestConnection> unopened;
     std::vector<TestConnection> pending;
@@ -121,7 +124,7 @@
     EXPECT_EQ(pending.back().line(), "BUSY 500");
     pending.pop_back();
     EXPECT_GE(pending.size(), 8U);
-    // The first call may have timed out by now: then there is another one.
+    // If the first call has timed out by now, the node makes another one.
     std::vector<StubDiscovery::Watch> calls;
     for (int i = 0; i < 3 && node.counter("list_changes") == 0; ++i) {
         calls.push_back(discovery.next());
@@ -140,7 +143,8 @@
     EXPECT_EQ(node.remainingLog().find("cannot connect"), std::string::npos) << node.remainingLog();
 }
 
-// Health checks take turns, and idle health-check connections make room for clients.
+// With more endpoints than descriptors, health checks have to wait for each other, and their idle connections
+// have to be closed for clients.
 TEST(NodeDescriptors, ChecksAndServesMoreEndpointsThanItsDescriptorLimit) {
     StubServer server;
     StubDiscovery discovery;
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -1,4 +1,4 @@
-// A node process from outside: the endpoint list, and a configuration that is read again.
+// Tests a node process through its sockets: the endpoint list, and reloads of the configuration.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -55,11 +55,12 @@
     EXPECT_EQ(last.request, "GET /catalog/members?follow=1&since=77 HTTP/1.1");
     EstablishedPair pair = establishConnection(node, server);
     pair.client.send("x\r\n");
-    EXPECT_EQ(pair.server.line(), "x") << "serves by the list last known";
+    EXPECT_EQ(pair.server.line(), "x") << "the node serves with the last known list";
     EXPECT_EQ(node.counter("list_failures"), 3);
 }
 
-// The environment names the first address; the configuration file that is reloaded takes precedence.
+// At the start the environment variable sets the address of discovery; the address in the reloaded file takes
+// precedence.
 TEST(NodeDiscovery, WatchesTheDiscoveryOfANewConfiguration) {
     StubServer server;
     StubServer two;
@@ -83,7 +84,7 @@
     after.line(R"({"version":51,"full":false,"servers":[)" + endpointEntry("s-2", two.address()) + "," +
                endpointEntry("s-1", server.address(), "left") + "]}");
     pair.client.send("x\r\n");
-    EXPECT_EQ(pair.server.line(), "x") << "established connections stay";
+    EXPECT_EQ(pair.server.line(), "x") << "established connections stay open";
     while (node.counter("list_changes") < 2) {
     }
     const EstablishedPair next = establishConnection(node, two);
@@ -131,7 +132,7 @@
     }
     node.awaitLogLine("discovery at " + discoveries[2].address());
     opened.connection.send("UP r2\r\n");
-    EXPECT_EQ(pending.line(), "UP r2") << "an attempt in progress survives new configurations";
+    EXPECT_EQ(pending.line(), "UP r2") << "an attempt in progress continues during a reload";
     EXPECT_TRUE(discoveries[2].next().request.starts_with("GET /catalog/members?follow=1&since=41"));
     EXPECT_EQ(pair.client.line(), "MOVE");
     EXPECT_EQ(pending.line(), "MOVE");
--- a/tests/node_harness.hpp
+++ b/tests/node_harness.hpp
@@ -1,4 +1,4 @@
-// A node process with stub clients, endpoints and discovery, and the steps that many tests share.
+// A node process with stub clients, endpoints and discovery, and helper functions that several tests use.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 namespace ivyreel::test {
 
-// The options of a node that knows this one endpoint.
+// The options of a node whose configuration contains only this endpoint.
 inline NodeProcess::Options optionsFor(const StubServer& server) {
     NodeProcess::Options options;
     options.servers = {{"s-1", server.address()}};
@@ -38,13 +38,13 @@
     return text.data();
 }
 
-// The ends of a connection that is established between a client and an endpoint.
+// The client's and the endpoint's end of an established connection.
 struct EstablishedPair {
     TestConnection client;
     TestConnection server;
 };
 
-// Establishes a connection at this endpoint.
+// Establishes a connection at this endpoint, which has to be the one that the node selects.
 inline EstablishedPair establishConnection(NodeProcess& node, StubServer& server,
                                            const std::string& opening = newOpeningLine()) {
     TestConnection client = node.client(opening);
@@ -54,13 +54,13 @@
     return {std::move(client), std::move(opened.connection)};
 }
 
-// Expects that the node has closed or reset this connection.
+// Expects that the node closes or resets this connection without sending another line.
 inline void expectClosed(TestConnection& connection) {
     const std::string end = connection.line();
     EXPECT_TRUE(end == "(end)" || end == "(reset)") << end;
 }
 
-// Waits until the endpoint has the request, or the client an answer.
+// Waits until the endpoint has received the request, or the client an answer.
 inline void awaitRequestOrAnswer(StubServer& server, const TestConnection& client) {
     while (server.idle() && !client.hasInput()) {
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
--- a/tests/node_health_check_test.cpp
+++ b/tests/node_health_check_test.cpp
@@ -1,4 +1,4 @@
-// A node process from outside: its health checks of endpoints.
+// Tests a node process through its sockets: its health checks of endpoints.
 #include <gtest/gtest.h>
 
 #include <chrono>
--- a/tests/node_opening_test.cpp
+++ b/tests/node_opening_test.cpp
@@ -1,4 +1,4 @@
-// A node process from outside: health checks and opening lines, valid and not.
+// Tests a node process through its sockets: health checks, and valid and invalid opening lines.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -47,7 +47,7 @@
     EXPECT_EQ(node.counter("bad_input"), 5);
 }
 
-// Each is counted by its cause, and no endpoint sees it.
+// Each invalid opening line is counted under its cause, and no endpoint receives it.
 TEST(NodeOpening, RejectsEachInvalidOpeningWithoutAnAttempt) {
     StubServer server;
     NodeProcess node{optionsFor(server)};
@@ -87,11 +87,12 @@
     while (node.counter("closed_by_client") == 0) {
     }
     TestConnection copy = node.client("OPEN 9b1f 8 c=chat,d=20000\r\n");
-    EXPECT_EQ(copy.line(), "ERR") << "every connection has a new id, also just after a request has ended";
+    EXPECT_EQ(copy.line(), "ERR")
+        << "every connection has a new id, and the id of a request that has just ended is known";
     EXPECT_TRUE(server.idle());
 }
 
-// Closing a socket with unread input resets the connection, which would destroy an answer on its way.
+// Guards against a lost answer: closing a socket with unread input resets the connection.
 TEST(NodeOpening, DeliversItsAnswerToAClientThatStillSends) {
     StubServer server;
     NodeProcess node{optionsFor(server)};
--- a/tests/node_relay_test.cpp
+++ b/tests/node_relay_test.cpp
@@ -1,4 +1,4 @@
-// A node process from outside: how an established connection is relayed and ended.
+// Tests a node process through its sockets: how it relays established connections, and how they end.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -115,7 +115,7 @@
     sender.join();
 }
 
-// An endpoint behind a broken link sends nothing, and TCP does not notice.
+// Guards against clients that stay at an endpoint behind a broken link, which TCP does not report.
 TEST(NodeRelay, MigratesTheClientOfASilentEndpoint) {
     StubServer server;
     NodeProcess node{optionsFor(server)};
--- a/tests/node_shutdown_test.cpp
+++ b/tests/node_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// A node process from outside: its graceful shutdown.
+// Tests a node process through its sockets: its graceful shutdown.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -22,7 +22,7 @@
     TestConnection late = node.client(newOpeningLine());
     auto opened = server.next();
     opened.connection.send("UP late\r\n");
-    EXPECT_EQ(late.line(), "UP late") << "new connections are still accepted";
+    EXPECT_EQ(late.line(), "UP late") << "the node still accepts new connections";
     for (EstablishedPair& pair : pairs) {
         EXPECT_EQ(pair.client.line(), "MOVE");
         EXPECT_EQ(pair.client.line(), "(end)");
@@ -34,11 +34,11 @@
     EXPECT_EQ(node.stop(), 0) << node.remainingLog();
 }
 
-// A request whose endpoint does not answer would be lost when the node is killed.
+// Guards against a request without a final answer: its endpoint does not answer before the node is killed.
 TEST(NodeShutdown, FailsPendingRequestsBeforeItIsKilled) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
-    options.clientTimeoutMs = 1000;  // of the class; this client would wait for longer
+    options.clientTimeoutMs = 1000;  // of the request class; the client's own timeout is longer
     NodeProcess node{options};
     TestConnection client = node.client("OPEN 9b1f 7f3a c=chat,d=60000\r\n");
     const auto opened = server.next();
@@ -48,7 +48,7 @@
     node.awaitLogLine("drained");
 }
 
-// An opening line may be late, or a connection be delayed in the load balancer in front.
+// An opening line may arrive late, or the load balancer in front of the node may delay a connection.
 TEST(NodeShutdown, MigratesConnectionsAndFailsRequestsThatArriveAfterTheDrain) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
--- a/tests/node_start_test.cpp
+++ b/tests/node_start_test.cpp
@@ -1,4 +1,4 @@
-// A node process from outside: how it starts.
+// Tests the start of a node process through its sockets.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -16,7 +16,7 @@
 namespace ivyreel::test {
 namespace {
 
-// It is ready as soon as it serves by the list last known, whatever discovery does.
+// A node serves with the configured list immediately, even if discovery does not respond.
 TEST(NodeStart, IsReadyAndServesWhileDiscoveryDoesNotAnswer) {
     StubServer server;
     StubDiscovery discovery;
@@ -28,7 +28,7 @@
     EXPECT_EQ(node.counter("list_changes"), 0);
 }
 
-// In push mode a new process must not serve by an older list than the sender has.
+// In push mode, a new process must not serve with an older list than discovery has.
 TEST(NodeStart, InPushModeServesOnceItHasTheEndpointList) {
     StubServer draining;
     StubServer active;
@@ -45,7 +45,7 @@
                     endpointEntry("s-2", active.address()) + "]}");
     });
     NodeProcess node{options};
-    EXPECT_EQ(node.counter("list_changes"), 1) << "before it serves";
+    EXPECT_EQ(node.counter("list_changes"), 1) << "the list is applied before the node serves";
     sender.join();
     for (int i = 0; i < 10; ++i) {
         establishConnection(node, active);
@@ -53,20 +53,21 @@
     EXPECT_TRUE(draining.idle());
 }
 
-// Requests are served, but the load balancer in front must not send more.
+// A node that is shutting down serves requests, but must not answer health checks: the load balancer in front
+// of the node would send more connections.
 TEST(NodeStart, DoesNotAnswerHealthChecksWhenStoppedBeforeItServes) {
     StubServer server;
     StubDiscovery discovery;
     NodeProcess::Options options = optionsFor(server, discovery);
     options.discoveryMode = "push";
     options.signalsAtStart = {SIGTERM};
-    NodeProcess node{options};  // without an answer of discovery it serves after a timeout
+    NodeProcess node{options};  // serves after a timeout, without a response from discovery
     TestConnection loadBalancer = node.client("PING\r\n");
     EXPECT_EQ(loadBalancer.line(), "(end)");
     establishConnection(node, server);
 }
 
-// Without a sender it serves by the list last known.
+// The failed call ends the wait for a list, and the node serves with the configured list.
 TEST(NodeStart, InPushModeServesWithTheConfiguredListWhenDiscoveryIsUnreachable) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
@@ -76,7 +77,7 @@
     establishConnection(node, server);
 }
 
-// By default each of these signals would end a process that still starts.
+// Guards against signals that end the process during its start, which is their default action.
 TEST(NodeStart, HandlesSignalsThatArriveBeforeItServes) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
@@ -85,7 +86,7 @@
     node.awaitLogLine("counters:");
     node.awaitLogLine("configuration reloaded");
     node.awaitLogLine("stopping");
-    establishConnection(node, server);  // the load balancer in front still sends: that is served
+    establishConnection(node, server);  // the load balancer in front may still send requests
 }
 
 TEST(NodeStart, ReportsTheInvalidKeyOfItsConfiguration) {
--- a/tests/recent_request_ids_test.cpp
+++ b/tests/recent_request_ids_test.cpp
@@ -1,4 +1,4 @@
-// Which request ids are known, and for how long.
+// Tests which request ids are known, and for how long.
 #include "proxy/recent_request_ids.hpp"
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
     EXPECT_EQ(ids.openCount(), 1U);
     EXPECT_TRUE(ids.isKnown(8, 30s));
     EXPECT_FALSE(ids.isKnown(8, 31s));
-    EXPECT_TRUE(ids.isKnown(7, 31s)) << "its request is still open here";
+    EXPECT_TRUE(ids.isKnown(7, 31s)) << "the request is still open at this node";
 }
 
 }  // namespace
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,4 +1,4 @@
-// What the relay reports about an endpoint whose connection ends.
+// Tests what the relay reports about an endpoint when a connection to it ends.
 #include "proxy/relay.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 using namespace std::chrono_literals;
 
-// Records the events, and decides nothing.
+// Records the events and makes no decisions.
 class RecordingEngine final : public DecisionEngine {
   public:
     explicit RecordingEngine(std::vector<Event>& events) : events_(events) {}
@@ -29,8 +29,8 @@
     std::vector<Event>& events_;
 };
 
-// A connection that is established at one of two endpoints while the list is stale. The test has the other
-// ends of both sockets.
+// A connection that is established at one of two endpoints while the endpoint list is stale. The test holds
+// the peer ends of both sockets.
 struct RelayFixture : TrackerEnvironment {
     Scheduler scheduler;
     Metrics metrics;
@@ -71,14 +71,14 @@
         scheduler.stop();
     }
 
-    // The endpoint sends this and half-closes; then the relay runs to its end.
+    // Sends `text` as the endpoint, half-closes the connection and runs the relay until it returns.
     void endpointEndsWith(std::string_view text) {
         ASSERT_EQ(::send(server[1], text.data(), text.size(), 0), static_cast<ssize_t>(text.size()));
         ::shutdown(server[1], SHUT_WR);
         run(false);
     }
 
-    // Reads as the client until the node ends the connection, and then closes it.
+    // Reads as the client until the node ends the connection, then closes the connection.
     Task<void> readAsClient() {
         Signal signal{scheduler};
         Connection connection{Socket{signal, client[1]}};
--- a/tests/request_race_test.cpp
+++ b/tests/request_race_test.cpp
@@ -1,4 +1,5 @@
-// Races at a node process, each one forced: what changes while a request waits.
+// Tests races at a node process: a client, an endpoint or the endpoint list changes while a request waits.
+// Each test forces the order of events.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,7 +11,7 @@
 
 void awaitCounter(NodeProcess& node, const std::string& name, long value) {
     for (long now = node.counter(name); now < value; now = node.counter(name)) {
-        ASSERT_GE(now, 0) << "no counter " << name;
+        ASSERT_GE(now, 0) << "there is no counter " << name;
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
 }
@@ -19,7 +20,7 @@
     return R"({"version":)" + std::to_string(version) + R"(,"full":false,"servers":[)" + entries + "]}";
 }
 
-// A node whose only endpoint drains, so that requests wait for another one.
+// A node whose only endpoint is draining, so that requests wait until an endpoint becomes available.
 struct NodeWithDrainingEndpoint {
     StubServer server;
     StubDiscovery discovery;
@@ -34,19 +35,20 @@
         watch.line(listChange(50 + ++changes, endpointEntry("s-1", server.address(), state)));
         awaitCounter(node, "list_changes", changes);
     }
-    // The next request at the endpoint is a new one, so nothing was sent for those before it.
+    // Expects that the first request at the endpoint is a new one, so no attempt was made for earlier
+    // requests.
     void expectNothingWasSent() {
         setEndpointState("active");
         TestConnection next = node.client("OPEN feed 1 c=chat,d=20000\r\n");
         const auto opened = server.next();
         EXPECT_TRUE(opened.opening.starts_with("OPEN feed "))
-            << "nothing is sent for a client that has disconnected";
+            << "no attempt is made for a client that has disconnected";
         EXPECT_EQ(node.counter("attempts"), 1);
     }
     int changes = 0;
 };
 
-// Nothing else wakes the request: no endpoint, no answer, no timeout.
+// Only the disconnect of the client can end these requests: there is no endpoint, no answer and no timeout.
 TEST(ClientDisconnects, CancelsARequestThatWaitsForAnEndpoint) {
     NodeWithDrainingEndpoint fixture;
     TestConnection closes = fixture.node.client(newOpeningLine());
@@ -99,7 +101,8 @@
     EXPECT_EQ(fixture.node.counter("attempts"), 2);
 }
 
-// Opening line and end of the connection have both arrived before the node reads.
+// The opening line and the end of the connection have both arrived when the node first reads. The node is
+// stopped until then.
 TEST(ClientDisconnects, CancelsARequestBeforeItsOpeningLineIsRead) {
     StubServer server;
     NodeProcess node{optionsFor(server)};
@@ -116,7 +119,8 @@
     EXPECT_EQ(node.counter("attempts"), 1);
 }
 
-// An endpoint whose listen queue is full: further connections are not established until it accepts one.
+// An endpoint whose listen queue is full: no further connection is established until the endpoint accepts the
+// queued one.
 class EndpointWithFullQueue {
   public:
     EndpointWithFullQueue() : descriptor_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -135,7 +139,7 @@
     ~EndpointWithFullQueue() { ::close(descriptor_); }
 
     std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-    // Accepts the queued connection, so that the next one is established.
+    // Accepts the oldest queued connection, so that the next one can be established.
     TestConnection accept() const {
         return TestConnection{::accept4(descriptor_, nullptr, nullptr, SOCK_CLOEXEC)};
     }
@@ -146,7 +150,7 @@
     TestConnection queued_;
 };
 
-// A node that connects to its endpoint for a request, without success so far.
+// A node with a request whose connection to the endpoint is not established yet.
 struct ConnectingNode {
     EndpointWithFullQueue full;
     StubServer other;
@@ -171,7 +175,8 @@
         options.healthChecks = false;
         return options;
     }
-    // What the endpoint receives first once the connection is established; "(end)" if it was closed.
+    // Lets the connection be established and returns the first line that the endpoint receives; "(end)" if
+    // the node closed the connection.
     std::string firstLineAfterAccept() const {
         const TestConnection queued = full.accept();
         return full.accept().line();
@@ -185,7 +190,8 @@
     EXPECT_EQ(fixture.node.counter("attempts"), 0);
 }
 
-// The endpoint never had the opening line, so even a request that is not idempotent is retried.
+// The endpoint closes the connection before it receives the opening line, so the node has to retry even a
+// non-idempotent request.
 TEST(EndpointCloses, RetriesARequestWhoseOpeningLineWasNotSent) {
     for (const bool resets : {false, true}) {
         ConnectingNode fixture{"single_shot"};
@@ -210,7 +216,7 @@
     awaitCounter(fixture.node, "list_changes", 1);
     EXPECT_EQ(fixture.firstLineAfterAccept(), "(end)");
     const auto opened = fixture.other.next();
-    EXPECT_TRUE(opened.opening.starts_with("OPEN ")) << "sent to an endpoint that accepts requests";
+    EXPECT_TRUE(opened.opening.starts_with("OPEN ")) << "the retry is sent to an active endpoint";
     EXPECT_EQ(fixture.node.counter("not_sent"), 1);
 }
 
--- a/tests/stale_list_test.cpp
+++ b/tests/stale_list_test.cpp
@@ -1,4 +1,5 @@
-// Endpoints that are withheld because of their own answers while the watch at discovery is lost.
+// Tests that a node withholds endpoints from new connections because of their responses while its watch at
+// discovery is lost.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -14,9 +15,9 @@
 namespace {
 
 constexpr int kManyRequests = 30;
-constexpr int kMaxConnects = 500;  // until a fairly selected endpoint was selected
+constexpr int kMaxConnects = 500;  // limit of connections until the node selects the endpoint
 
-// A node with two endpoints whose watch was live and is lost; the next call is not answered yet.
+// A node with two endpoints. Its watch was live and has ended, and its next call has no response yet.
 class StaleEndpointList : public testing::Test {
   protected:
     StaleEndpointList() {
@@ -37,7 +38,7 @@
         node->awaitLogLine("the list is live");
     }
 
-    // The endpoint that the next request is sent to.
+    // Waits for the next request and returns the endpoint that received it.
     StubServer& awaitSelected() {
         while (first.idle() && second.idle()) {
             std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -45,7 +46,7 @@
         return first.idle() ? second : first;
     }
 
-    // Opens connections until one is established at this endpoint.
+    // Opens connections until one is established at this endpoint, and returns that one.
     EstablishedPair connectAt(StubServer& server) {
         for (int i = 0; i < kMaxConnects; ++i) {
             TestConnection client = node->client(newOpeningLine());
@@ -55,7 +56,7 @@
             EXPECT_EQ(client.line(), "UP r1");
             if (&selected == &server) return {std::move(client), std::move(opened.connection)};
         }
-        ADD_FAILURE() << "the endpoint was never selected";
+        ADD_FAILURE() << "the node selected the endpoint for none of the connections";
         return {TestConnection{-1}, TestConnection{-1}};
     }
 
@@ -72,7 +73,7 @@
     StubDiscovery discovery;
     std::optional<NodeProcess> node;
     std::optional<EstablishedPair> established;
-    std::optional<StubDiscovery::Watch> unanswered;  // the call after the lost watch
+    std::optional<StubDiscovery::Watch> unanswered;  // the call after the watch was lost
 };
 
 TEST_F(StaleEndpointList, AnEndpointThatSentMoveGetsNoRequestsUntilTheListIsLive) {
@@ -88,7 +89,7 @@
 
 TEST_F(StaleEndpointList, AnEndpointWithCapacityThatAnswersBusyGetsNoRequestsUntilTheListIsLive) {
     while (first.healthChecks() == 0) {
-        std::this_thread::sleep_for(std::chrono::milliseconds(1));  // its load report shows spare capacity
+        std::this_thread::sleep_for(std::chrono::milliseconds(1));  // the load report shows spare capacity
     }
     for (int rejections = 0; rejections < 2;) {
         TestConnection client = node->client(newOpeningLine());
@@ -109,7 +110,7 @@
     connectAt(first);
 }
 
-// A live list is authoritative: what an endpoint has said itself does not count.
+// A live list is authoritative: responses of an endpoint must not cause withholding.
 TEST_F(StaleEndpointList, MoveWhileTheListIsLiveWithholdsNoEndpoint) {
     makeLive(*unanswered);
     established->server.send("MOVE\r\n");
