--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -35,7 +35,7 @@
     }
 }
 
-// Decodes a segment of a path; none if one of its percent escapes is malformed.
+// Decodes a path segment; none if a percent escape is malformed.
 std::optional<std::string> percentDecoded(std::string_view text) {
     std::string result;
     while (!text.empty()) {
@@ -53,8 +53,8 @@
     return result;
 }
 
-// `path`: what follows the prefix, "ID/disable" or "ID/enable".
-AdminResponse handleEndpointCall(AdminDelegate& node, std::string_view method, std::string_view path) {
+// `path` is the part of the path after kEndpointPrefix: "ID/disable" or "ID/enable".
+AdminResponse handleEndpointRequest(AdminDelegate& node, std::string_view method, std::string_view path) {
     const std::size_t slash = path.rfind('/');
     const std::string_view verb = slash == std::string_view::npos ? "" : path.substr(slash + 1);
     const bool disable = verb == "disable";
@@ -68,10 +68,10 @@
 
 }  // namespace
 
-AdminResponse handleAdminCall(AdminDelegate& node, std::string_view method, std::string_view target) {
+AdminResponse handleAdminRequest(AdminDelegate& node, std::string_view method, std::string_view target) {
     const std::string_view path = target.substr(0, target.find('?'));
     if (path.starts_with(kEndpointPrefix))
-        return handleEndpointCall(node, method, path.substr(kEndpointPrefix.size()));
+        return handleEndpointRequest(node, method, path.substr(kEndpointPrefix.size()));
     if (path != kReadyPath && path != kMetricsPath) return {kNotFound, "no such path\n"};
     if (method != "GET") return {kMethodNotAllowed, "use GET\n", "GET"};
     if (path == kMetricsPath) return {kOk, node.metricsText()};
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -17,8 +17,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kSessionTimeout = 5s;         // from the connection to the end of the response
-constexpr Micros kExhaustedRetryDelay = 50ms;  // before the next accept, when no descriptor was left
+constexpr Micros kSessionTimeout = 5s;         // from the accept to the end of the response
+constexpr Micros kExhaustedRetryDelay = 50ms;  // when the process is out of descriptors
 
 }  // namespace
 
@@ -27,29 +27,30 @@
     Session(Scheduler& scheduler, int descriptor)
         : signal(scheduler), connection(Socket{signal, descriptor}) {}
 
-    // Reads more of the call. True once there is a response to it.
-    bool receiveCall(AdminDelegate& node);
+    // Reads more of the request. Returns true once the response is available.
+    bool receiveRequest(AdminDelegate& node);
     // Sends more of the response.
     void sendResponse();
-    // Whether the caller has gone, or has the response and has closed its side too.
+    // Whether the connection has failed, or the client has closed its side and no response is left to send.
     bool finished() const;
 
     Signal signal;
     Connection connection;
-    HttpRequestParser call;
-    std::string callBody;  // ignored
+    HttpRequestParser request;
+    std::string requestBody;  // ignored
     std::string response;
     std::size_t sent = 0;
     bool responseSent = false;
     bool evicted = false;
 };
 
-bool AdminServer::Session::receiveCall(AdminDelegate& node) {
-    if (connection.fill()) signal.raise();  // there may be more than a buffer holds
+bool AdminServer::Session::receiveRequest(AdminDelegate& node) {
+    if (connection.fill()) signal.raise();  // more input may be available
     if (!response.empty()) return true;
     try {
-        call.take(connection.in, callBody);
-        if (call.complete()) response = serialize(handleAdminCall(node, call.method(), call.target()));
+        request.take(connection.in, requestBody);
+        if (request.complete())
+            response = serialize(handleAdminRequest(node, request.method(), request.target()));
     } catch (const std::exception& error) {
         response = serialize({400, std::string(error.what()) + "\n"});
     }
@@ -57,7 +58,7 @@
 }
 
 void AdminServer::Session::sendResponse() {
-    // Unread input at the end of a connection would cause a reset, which destroys the response.
+    // Closing a socket with unread input would reset the connection, and the client could lose the response.
     connection.in.drop(connection.in.size());
     connection.send(response, sent);
     const bool complete = sent == response.size();
@@ -69,11 +70,12 @@
     return connection.broken || (connection.ended && nothingToSend);
 }
 
-AdminServer::AdminServer(Scheduler& scheduler, AdminDelegate& node, const Address& listen, int listening)
+AdminServer::AdminServer(Scheduler& scheduler, AdminDelegate& node, const Address& listen,
+                         int inheritedListener)
     : scheduler_(scheduler),
       node_(node),
       signal_(scheduler),
-      listener_(Socket::listenOn(signal_, listen, listening)) {}
+      listener_(Socket::listenOn(signal_, listen, inheritedListener)) {}
 
 void AdminServer::setAccepting(bool accepting) {
     accepting_ = accepting;
@@ -82,12 +84,12 @@
 
 Task<void> AdminServer::accept() {
     for (;;) {
-        const Time retryAt = acceptWaiting();
+        const Time retryAt = acceptPending();
         co_await signal_.wait(retryAt);
     }
 }
 
-Time AdminServer::acceptWaiting() {
+Time AdminServer::acceptPending() {
     while (accepting_) {
         if (sessions_.size() >= kMaxSessions) {
             evictOldestSession();
@@ -106,11 +108,12 @@
     try {
         scheduler_.spawn(serve(std::make_unique<Session>(scheduler_, descriptor)));
     } catch (const std::system_error& error) {
-        spdlog::error("admin connection cannot be watched: {}", error.what());
+        spdlog::error("cannot serve an admin connection: {}", error.what());
     }
 }
 
-// Only one in each turn of the scheduler, so that every session had a turn before it is evicted.
+// Evicts only one session per round of the scheduler, so that each session runs at least once before it can
+// be evicted.
 void AdminServer::evictOldestSession() {
     sessions_.front()->evicted = true;
     sessions_.front()->signal.raise();
@@ -122,7 +125,7 @@
     const auto position = sessions_.insert(sessions_.end(), &session);
     const Time deadline = scheduler_.now() + kSessionTimeout;
     for (;;) {
-        if (session.receiveCall(node_)) session.sendResponse();
+        if (session.receiveRequest(node_)) session.sendResponse();
         if (session.finished() || session.evicted || scheduler_.now() >= deadline) break;
         co_await session.signal.wait(deadline);
     }
--- a/src/node/config_reload.cpp
+++ b/src/node/config_reload.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool sameIdentity(const Config& next, const Config& current) {
+bool hasSameIdentity(const Config& next, const Config& current) {
     return next.name == current.name && next.listen == current.listen &&
            next.adminAddress == current.adminAddress;
 }
@@ -21,8 +21,8 @@
     ReloadedConfig result{readConfig(ConfigReadMode::Reload)};
     Config& next = result.config;
     if (const auto key = firstMissingKey(next, current))
-        throw ConfigError(*key, "missing, but present in the current configuration");
-    result.restartNeeded = !sameIdentity(next, current);
+        throw ConfigError(*key, "this key is missing, but the current configuration has it");
+    result.restartNeeded = !hasSameIdentity(next, current);
     next.name = current.name;
     next.listen = current.listen;
     next.adminAddress = current.adminAddress;
--- a/src/proxy/request_session.cpp
+++ b/src/proxy/request_session.cpp
@@ -35,8 +35,8 @@
     return result;
 }
 
-// None if the client has disconnected or sent more. That ends the request at once, so that no endpoint is
-// tried for it.
+// Waits for the next decision. Returns none as soon as the client has disconnected or sent more data, so that
+// no further attempt is made for it.
 Task<std::optional<Decision>> RequestSession::awaitDecision(TrackedRequest& trackedRequest) {
     for (;;) {
         connections_.client.fill();
@@ -46,7 +46,7 @@
     }
 }
 
-Task<void> RequestSession::place(RequestClassMetrics& classMetrics) {
+Task<void> RequestSession::serveNewRequest(RequestClassMetrics& classMetrics) {
     TrackedRequest trackedRequest{context_.tracker, connections_, attributes()};
     std::optional<ScopedRegistration<TrackedRequest>> pending{std::in_place, context_.active.pending,
                                                               trackedRequest};
@@ -55,9 +55,9 @@
         const std::optional<Decision> decision = co_await awaitDecision(trackedRequest);
         if (!decision) co_return co_await abandon(trackedRequest, classMetrics);
         if (const auto* rejection = std::get_if<Rejection>(&*decision))
-            co_return co_await responses_.shedLoad(connections_, classMetrics, rejection->retryAfter);
+            co_return co_await responses_.sendBusy(connections_, classMetrics, rejection->retryAfter);
         if (std::holds_alternative<RequestFailure>(*decision))
-            co_return co_await responses_.fail(connections_, classMetrics);
+            co_return co_await responses_.sendFailure(connections_, classMetrics);
         const ForwardTo forward = std::get<ForwardTo>(*decision);
         const AttemptTarget target{forward.endpoint, forward.timeout, false};
         const AttemptResult result =
@@ -106,10 +106,11 @@
         const bool clientWaits = co_await waitBeforeRetry();
         if (!clientWaits) co_return co_await abandon(trackedRequest, classMetrics);
     }
-    co_await responses_.fail(connections_, classMetrics);
+    co_await responses_.sendFailure(connections_, classMetrics);
 }
 
-// Returns false if the client has disconnected or sent more meanwhile.
+// Waits until the next attempt to resume is due. Returns false if the client has disconnected or sent more
+// data in the meantime.
 Task<bool> RequestSession::waitBeforeRetry() {
     const Time retryAt = context_.scheduler.now() + kResumeRetryInterval;
     while (context_.scheduler.now() < retryAt && !connections_.migrationRequested) {
@@ -131,11 +132,11 @@
          connections_.client.socket.release(), connections_.upstream.socket.release()});
 }
 
-// The client has disconnected before its answer, or has sent more without waiting for it.
+// Ends the request of a client that has disconnected, or has sent more data, before its answer.
 Task<void> RequestSession::abandon(TrackedRequest& trackedRequest, RequestClassMetrics& classMetrics) {
     context_.tracker.abandon(trackedRequest);
     if (!connections_.client.in.empty())
-        co_return co_await responses_.reject(connections_, InputError::UnexpectedInput, &classMetrics);
+        co_return co_await responses_.rejectInput(connections_, InputError::UnexpectedInput, &classMetrics);
     ++context_.metrics.clientsDisconnected;
 }
 
--- a/tests/recent_request_ids_test.cpp
+++ b/tests/recent_request_ids_test.cpp
@@ -1,4 +1,4 @@
-// Which request ids are known, and for how long.
+// Tests which request ids are known, and for how long.
 #include "proxy/recent_request_ids.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     EXPECT_FALSE(ids.isKnown(8, 100s));
 }
 
-TEST(RecentRequestIds, TheOldestEndedIdsAreForgottenBeyondTheLimit) {
+TEST(RecentRequestIds, EvictsTheOldestEndedIdsBeyondTheLimit) {
     RecentRequestIds ids;
     for (std::uint64_t id = 0; id <= 4096; ++id) {
         ids.open(id);
@@ -41,7 +41,7 @@
     EXPECT_EQ(ids.openCount(), 1U);
     EXPECT_TRUE(ids.isKnown(8, 30s));
     EXPECT_FALSE(ids.isKnown(8, 31s));
-    EXPECT_TRUE(ids.isKnown(7, 31s)) << "its request is still open here";
+    EXPECT_TRUE(ids.isKnown(7, 31s)) << "the request is still open at this node";
 }
 
 }  // namespace
