--- a/examples/stub_servers.cpp
+++ b/examples/stub_servers.cpp
@@ -27,7 +27,7 @@
 using namespace ivyreel;
 using namespace std::chrono_literals;
 
-constexpr int kServers = 3;
+constexpr int kServerCount = 3;
 constexpr int kFirstServerPort = 9001;
 constexpr const char* kDiscoveryAddress = "127.0.0.1:8500";
 constexpr double kServerCapacity = 10.0;        // connections
@@ -95,7 +95,7 @@
     return "x0=" + std::to_string(utilisation) + ",inflight=" + std::to_string(server.openConnections);
 }
 
-void changeOpenConnections(StubServer& server, int change) {
+void adjustOpenConnections(StubServer& server, int change) {
     server.openConnections += change;
     std::printf("%s has %d connections\n", server.name.c_str(), server.openConnections);
 }
@@ -118,12 +118,12 @@
         const std::string command(firstWord(line).first);
         if (command == "OPEN") {
             opened = true;
-            changeOpenConnections(server, 1);
+            adjustOpenConnections(server, 1);
         }
         co_await sendAll(signal, connection, replyTo(server, line));
         if (command == "bye") break;
     }
-    if (opened) changeOpenConnections(server, -1);
+    if (opened) adjustOpenConnections(server, -1);
 }
 
 // ---- discovery ----
@@ -151,7 +151,8 @@
 }
 
 // Waits until the list is newer than that version, the heartbeat is due, or the peer has closed the watch.
-Task<void> awaitNews(StubFleet& fleet, Signal& signal, Connection& connection, std::uint64_t sentVersion) {
+Task<void> awaitListChange(StubFleet& fleet, Signal& signal, Connection& connection,
+                           std::uint64_t sentVersion) {
     const Time deadline = fleet.scheduler.now() + kWatchHeartbeatInterval;
     while (sentVersion == fleet.listVersion && !connection.over() && fleet.scheduler.now() < deadline) {
         co_await signal.wait(deadline);
@@ -175,7 +176,7 @@
         const std::string text = (changed ? fullList(fleet) : std::string()) + "\n";
         sentVersion = fleet.listVersion;
         co_await sendAll(signal, connection, httpChunk(text));
-        co_await awaitNews(fleet, signal, connection, sentVersion);
+        co_await awaitListChange(fleet, signal, connection, sentVersion);
     }
     std::erase(fleet.watchers, &signal);
 }
@@ -212,7 +213,7 @@
 }
 
 void addServers(StubFleet& fleet) {
-    for (int i = 0; i < kServers; ++i) {
+    for (int i = 0; i < kServerCount; ++i) {
         const std::string port = std::to_string(kFirstServerPort + i);
         fleet.servers.push_back({"s-" + std::to_string(i + 1), "127.0.0.1:" + port, "active", 0});
     }
@@ -229,7 +230,7 @@
     const auto serve = [&](int descriptor) { return serveWatch(fleet, descriptor); };
     scheduler.spawn(acceptAt(scheduler, kDiscoveryAddress, serve));
     scheduler.spawn(readCommands(fleet));
-    std::printf("%d stub servers; discovery at %s\n", kServers, kDiscoveryAddress);
+    std::printf("%d stub servers; discovery at %s\n", kServerCount, kDiscoveryAddress);
     scheduler.run();
 }
 
--- a/src/config/section_reader.cpp
+++ b/src/config/section_reader.cpp
@@ -16,7 +16,7 @@
     return number;
 }
 
-std::string wordIn(const Json& value, const std::string& path) {
+std::string stringIn(const Json& value, const std::string& path) {
     if (!value.is_string()) throw SettingsError(path, "expected a word");
     return value.get<std::string>();
 }
@@ -52,7 +52,7 @@
 
 std::string SectionReader::text(const char* key) const {
     const Json* value = find(key);
-    return value == nullptr ? std::string() : wordIn(*value, pathOf(key));
+    return value == nullptr ? std::string() : stringIn(*value, pathOf(key));
 }
 
 SectionReader SectionReader::section(const char* key) const {
@@ -69,10 +69,10 @@
     return result;
 }
 
-std::vector<std::string> SectionReader::words(const char* key) const {
+std::vector<std::string> SectionReader::strings(const char* key) const {
     std::vector<std::string> result;
     for (const Json& element : list(key)) {
-        result.push_back(wordIn(element, pathOf(key, result.size())));
+        result.push_back(stringIn(element, pathOf(key, result.size())));
     }
     return result;
 }
--- a/src/config/section_reader.hpp
+++ b/src/config/section_reader.hpp
@@ -35,12 +35,12 @@
     std::string text(const char* key) const;
     // The value that stands beside the word in the list.
     template <class T>
-    T choice(const char* key, T fallback, std::initializer_list<std::pair<const char*, T>> words) const;
+    T choice(const char* key, T fallback, std::initializer_list<std::pair<const char*, T>> choices) const;
 
     // An absent section reads as an empty one.
     SectionReader section(const char* key) const;
     std::vector<SectionReader> sections(const char* key) const;
-    std::vector<std::string> words(const char* key) const;
+    std::vector<std::string> strings(const char* key) const;
     // An element of a list of numbers that are not negative; the fallback where the list ends before it.
     double numberAt(const char* key, std::size_t index, double fallback) const;
 
@@ -58,10 +58,10 @@
 
 template <class T>
 T SectionReader::choice(const char* key, T fallback,
-                        std::initializer_list<std::pair<const char*, T>> words) const {
+                        std::initializer_list<std::pair<const char*, T>> choices) const {
     if (!has(key)) return fallback;
     const std::string word = text(key);
-    for (const auto& [name, value] : words) {
+    for (const auto& [name, value] : choices) {
         if (word == name) return value;
     }
     throw SettingsError(pathOf(key), "unknown word \"" + word + "\"");
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -87,7 +87,7 @@
                                                  {{"inline", LoadReportMode::WithResponses},
                                                   {"on_probe", LoadReportMode::WithHealthChecks},
                                                   {"off", LoadReportMode::None}});
-    for (const std::string& name : report.words("fields")) {
+    for (const std::string& name : report.strings("fields")) {
         node.reportFields.push_back(reportField(name));
     }
 }
@@ -153,8 +153,8 @@
     readOperatingLimits(root.section("rules"), node.settings.operatingLimits);
     readDeploymentKind(family, node);
     readLoadReports(root.section("report"), node);
-    node.zoneNames = root.words("failureDomains");
-    node.kindNames = root.words("kinds");
+    node.zoneNames = root.strings("failureDomains");
+    node.kindNames = root.strings("kinds");
     readRequestClasses(root, family, node);
     readTenants(root, family, node);
     return node;
--- a/src/io/buffer.hpp
+++ b/src/io/buffer.hpp
@@ -22,15 +22,15 @@
     bool full() const { return size() >= limit_; }
 
     // Free space for the next read; empty if the buffer is full.
-    std::span<char> room() {
+    std::span<char> freeSpace() {
         if (full()) return {};
         if (begin_ > 0 && bytes_.size() - end_ < kGrowthBytes) compact();
         if (bytes_.size() - end_ < kGrowthBytes / 4)
             bytes_.resize(std::min(limit_, std::max(kGrowthBytes, 2 * bytes_.size())));
         return std::span(bytes_).subspan(end_, std::min(bytes_.size() - end_, limit_ - size()));
     }
-    // Adds the first bytes of room(), which now contain data.
-    void filled(std::size_t count) { end_ += count; }
+    // Adds the first bytes of freeSpace(), which now contain data.
+    void commit(std::size_t count) { end_ += count; }
 
     // Removes bytes at the front.
     void drop(std::size_t count) {
--- a/src/io/socket.cpp
+++ b/src/io/socket.cpp
@@ -153,11 +153,11 @@
 bool Connection::fill() {
     bool received = false;
     for (std::size_t reads = 0; !over() && reads < kMaxReadsPerFill; ++reads) {
-        const std::span<char> room = in.room();
-        if (room.empty()) break;
-        const ssize_t count = ::recv(socket.descriptor(), room.data(), room.size(), 0);
+        const std::span<char> space = in.freeSpace();
+        if (space.empty()) break;
+        const ssize_t count = ::recv(socket.descriptor(), space.data(), space.size(), 0);
         if (count > 0) {
-            in.filled(static_cast<std::size_t>(count));
+            in.commit(static_cast<std::size_t>(count));
             received = true;
         } else if (count == 0) {
             ended = true;
--- a/tests/blocking_queue.hpp
+++ b/tests/blocking_queue.hpp
@@ -22,10 +22,11 @@
         }
         changed_.notify_all();
     }
-    // Waits for a value; none after kHangMs.
+    // Waits for a value; none after kTestTimeoutMs.
     std::optional<T> pop() {
         std::unique_lock lock(mutex_);
-        if (!changed_.wait_for(lock, std::chrono::milliseconds(kHangMs), [this] { return !values_.empty(); }))
+        if (!changed_.wait_for(lock, std::chrono::milliseconds(kTestTimeoutMs),
+                               [this] { return !values_.empty(); }))
             return std::nullopt;
         T value = std::move(values_.front());
         values_.pop_front();
--- a/tests/hot_restart_golden_test.cpp
+++ b/tests/hot_restart_golden_test.cpp
@@ -185,7 +185,7 @@
     expectEachKeyIsRequired("/hosts/0/known");
 }
 
-TEST(HotRestartGolden, HandoverRequest) {
+TEST(HotRestartGolden, HandoverRequestRoundTripsByteForByte) {
     const std::string golden = readGolden("handover_request.json");
     const auto request = HandoverRequest::parse(golden);
     ASSERT_TRUE(request);
@@ -194,21 +194,21 @@
     EXPECT_EQ(encode(*request), golden);
 }
 
-TEST(HotRestartGolden, ServingNotice) {
+TEST(HotRestartGolden, ServingNoticeRoundTripsByteForByte) {
     const std::string golden = readGolden("serving_notice.json");
     const HandoverMessage message = parseMessage(golden);
     ASSERT_TRUE(std::holds_alternative<ServingNotice>(message));
     EXPECT_EQ(encode(std::get<ServingNotice>(message)), golden);
 }
 
-TEST(HotRestartGolden, DescriptorCount) {
+TEST(HotRestartGolden, DescriptorCountRoundTripsByteForByte) {
     const std::string golden = readGolden("descriptor_count.json");
     const auto count = std::get<DescriptorCount>(parseMessage(golden));
     EXPECT_EQ(count.count, 1234U);
     EXPECT_EQ(encode(count), golden);
 }
 
-TEST(HotRestartGolden, BanNoticeOn) {
+TEST(HotRestartGolden, BanNoticeOnRoundTripsByteForByte) {
     const std::string golden = readGolden("ban_notice_on.json");
     const auto notice = std::get<BanNotice>(parseMessage(golden));
     EXPECT_EQ(notice.endpoint, EndpointId{18446744073709551615U});
@@ -216,7 +216,7 @@
     EXPECT_EQ(encode(notice), golden);
 }
 
-TEST(HotRestartGolden, BanNoticeOff) {
+TEST(HotRestartGolden, BanNoticeOffRoundTripsByteForByte) {
     const std::string golden = readGolden("ban_notice_off.json");
     const auto notice = std::get<BanNotice>(parseMessage(golden));
     EXPECT_EQ(notice.endpoint, EndpointId{42});
@@ -224,14 +224,14 @@
     EXPECT_EQ(encode(notice), golden);
 }
 
-TEST(HotRestartGolden, ReloadNotice) {
+TEST(HotRestartGolden, ReloadNoticeRoundTripsByteForByte) {
     const std::string golden = readGolden("reload_notice.json");
     const HandoverMessage message = parseMessage(golden);
     ASSERT_TRUE(std::holds_alternative<ReloadNotice>(message));
     EXPECT_EQ(encode(std::get<ReloadNotice>(message)), golden);
 }
 
-TEST(HotRestartGolden, ConnectionTransferWithLoad) {
+TEST(HotRestartGolden, ConnectionTransferWithLoadRoundTripsByteForByte) {
     using namespace std::string_literals;
     const std::string golden = readGolden("standing_connection_with_load.json");
     const EstablishedConnection connection = std::get<ConnectionTransfer>(parseMessage(golden)).parse();
@@ -246,7 +246,7 @@
     EXPECT_EQ(encode(connection), golden);
 }
 
-TEST(HotRestartGolden, ConnectionTransferWithoutLoad) {
+TEST(HotRestartGolden, ConnectionTransferWithoutLoadRoundTripsByteForByte) {
     using namespace std::string_literals;
     const std::string golden = readGolden("standing_connection_without_load.json");
     const EstablishedConnection connection = std::get<ConnectionTransfer>(parseMessage(golden)).parse();
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -159,16 +159,16 @@
 TEST(HotRestart, BansAreHandedOverAndSharedWhileBothNodesRun) {
     SharedDirectory directory;
     StubServer server;
-    StubServer two;
+    StubServer secondServer;
     NodeProcess::Options options = restartOptions(server, directory);
-    options.servers.emplace_back("s-2", two.address());
+    options.servers.emplace_back("s-2", secondServer.address());
     NodeProcess predecessor{options};
     EXPECT_EQ(predecessor.adminRequest("POST", "/-/hosts/s-1/disable").first, 200);
     NodeProcess successor{options};
     predecessor.awaitLogLine("the successor serves");
     EXPECT_EQ(successor.metric("cluster_unhealthy"), 1);
     for (int i = 0; i < 10; ++i) {
-        establishConnection(successor, two);
+        establishConnection(successor, secondServer);
     }
     EXPECT_TRUE(server.idle());
     EXPECT_EQ(predecessor.adminRequest("POST", "/-/hosts/s-2/disable").first, 200);
@@ -187,7 +187,7 @@
     std::atomic<bool> noMoreClients = false;  // no further client connects
     std::atomic<bool> allAnswered = false;    // and the last one has its answer
     std::atomic<int> failed = 0;
-    std::atomic<int> served = 0;
+    std::atomic<int> answered = 0;
     NodeProcess::Options options = restartOptions(server, directory);
     auto node = std::make_unique<NodeProcess>(options);
     const std::uint16_t port = node->port();
@@ -208,12 +208,12 @@
                 std::string("OPEN ").append(std::to_string(10000 + i)).append(" 7 c=chat,d=20000\r\n"));
             const bool correct =
                 client.line() == "UP r" && client.line() == "BYE" && client.line() == "(end)";
-            ++(correct ? served : failed);
+            ++(correct ? answered : failed);
         }
     });
     for (int restart = 0; restart < 4; ++restart) {
-        const int before = served;
-        while (served < before + 50 && failed == 0) {
+        const int before = answered;
+        while (answered < before + 50 && failed == 0) {
             std::this_thread::sleep_for(std::chrono::milliseconds(1));
         }
         auto successor = std::make_unique<NodeProcess>(options);
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -21,7 +21,7 @@
 
 namespace ivyreel::test {
 
-constexpr int kHangMs = 20'000;  // the limit of every wait; only a hang reaches it
+constexpr int kTestTimeoutMs = 20'000;  // the limit of every wait; only a hang reaches it
 
 inline sockaddr_in loopback(std::uint16_t port) {
     sockaddr_in address{};
@@ -74,7 +74,7 @@
                 return result;
             }
             pollfd poll{descriptor_, POLLIN, 0};
-            if (::poll(&poll, 1, kHangMs) != 1) return "(hang)";
+            if (::poll(&poll, 1, kTestTimeoutMs) != 1) return "(hang)";
             std::array<char, 4096> chunk{};
             const ssize_t count = ::recv(descriptor_, chunk.data(), chunk.size(), 0);
             if (count == 0) return "(end)";
@@ -87,7 +87,7 @@
     std::string readAvailable() {
         if (!received_.empty()) return std::exchange(received_, {});
         pollfd poll{descriptor_, POLLIN, 0};
-        if (::poll(&poll, 1, kHangMs) != 1) return "(hang)";
+        if (::poll(&poll, 1, kTestTimeoutMs) != 1) return "(hang)";
         std::array<char, 4096> chunk{};
         const ssize_t count = ::recv(descriptor_, chunk.data(), chunk.size(), 0);
         return count <= 0 ? std::string() : std::string(chunk.data(), static_cast<std::size_t>(count));
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -20,11 +20,11 @@
 
 void fill(Buffer& buffer, std::string_view text) {
     while (!text.empty()) {
-        const auto room = buffer.room();
-        ASSERT_FALSE(room.empty());
-        const std::size_t count = std::min(room.size(), text.size());
-        std::copy_n(text.begin(), count, room.begin());
-        buffer.filled(count);
+        const auto space = buffer.freeSpace();
+        ASSERT_FALSE(space.empty());
+        const std::size_t count = std::min(space.size(), text.size());
+        std::copy_n(text.begin(), count, space.begin());
+        buffer.commit(count);
         text.remove_prefix(count);
     }
 }
@@ -33,11 +33,11 @@
     Buffer buffer{4096};
     fill(buffer, std::string(4096, 'x'));
     EXPECT_TRUE(buffer.full());
-    EXPECT_TRUE(buffer.room().empty());
+    EXPECT_TRUE(buffer.freeSpace().empty());
     buffer.drop(1000);
     EXPECT_EQ(buffer.size(), 3096U);
-    EXPECT_FALSE(buffer.room().empty());
-    EXPECT_LE(buffer.room().size(), 1000U);
+    EXPECT_FALSE(buffer.freeSpace().empty());
+    EXPECT_LE(buffer.freeSpace().size(), 1000U);
 }
 
 TEST(Buffer, KeepsTheOrderThroughCompaction) {
@@ -73,7 +73,7 @@
     EXPECT_EQ(firstLine("\r\n")->text, "");
 }
 
-TEST(Line, IsAtMostFourKiBLongWithItsEnd) {
+TEST(Line, IsAtMost4096BytesLongIncludingLineEnd) {
     const std::string longest = std::string(4094, 'x') + "\r\n";
     EXPECT_TRUE(firstLine(longest));
     EXPECT_FALSE(exceedsMaxLineLength(longest));
@@ -124,7 +124,7 @@
     }
 }
 
-TEST(Http, ReadsResponsesWithALengthAndUntilClose) {
+TEST(Http, ReadsResponsesWithContentLengthAndUntilClose) {
     EXPECT_EQ(bodyOf("HTTP/1.1 503 Busy\r\nContent-Length: 3\r\n\r\nabcdef", 4), "abc");
     EXPECT_EQ(bodyOf("HTTP/1.1 200 OK\r\n\r\nabc", 5), "abc");
     HttpResponseParser parser;
@@ -232,7 +232,7 @@
     EXPECT_EQ(config.settings.settings.limits.maxAttempts, 255);
 }
 
-TEST(Config, IsParsedOrReportsWhatIsWrong) {
+TEST(Config, IsParsedAndErrorsNameTheInvalidKey) {
     const Config config = parseConfig(
         R"({"name":"n3","listen":"127.0.0.4:8080","discovery":"127.0.0.5:8500","seed":"ff",
             "limits":{"sockets":1160},"known":{"version":4,"full":true,"servers":[]},"settings":{}})");
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -30,16 +30,16 @@
     reload(node, NodeProcess::config(options));
 }
 
-std::string replaced(std::string text, const std::string& what, const std::string& instead) {
+std::string replaced(std::string text, const std::string& what, const std::string& replacement) {
     const std::size_t at = text.find(what);
     if (at == std::string::npos) {
         ADD_FAILURE() << "not in the configuration: " << what;
         return text;
     }
-    return text.replace(at, what.size(), instead);
+    return text.replace(at, what.size(), replacement);
 }
 
-TEST(Reload, AddsAClassAndDropsAnother) {
+TEST(Reload, AddsOneRequestClassAndRemovesAnother) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
@@ -47,16 +47,16 @@
     EXPECT_EQ(early.line(), "ERR") << "not yet known";
     options.classes = {"call", "chat"};  // in another order too
     reload(node, options);
-    EstablishedPair adminRequest = establishConnection(node, server, openingOf("call"));
+    EstablishedPair call = establishConnection(node, server, openingOf("call"));
     EstablishedPair chat = establishConnection(node, server);
-    TestConnection asked = node.client(newOpeningLine());
-    auto out = server.next();
+    TestConnection pendingClient = node.client(newOpeningLine());
+    auto pendingAttempt = server.next();
     options.classes = {"call"};
     reload(node, options);
     TestConnection late = node.client(newOpeningLine());
     EXPECT_EQ(late.line(), "ERR") << "dropped";
-    out.connection.send("UP r9\r\n");
-    EXPECT_EQ(asked.line(), "UP r9") << "requests under way continue";
+    pendingAttempt.connection.send("UP r9\r\n");
+    EXPECT_EQ(pendingClient.line(), "UP r9") << "requests under way continue";
     chat.client.send("x\r\n");
     EXPECT_EQ(chat.server.line(), "x") << "established connections continue";
     EXPECT_EQ(node.metric("transactions.chat.answered"), 2) << "its counters are kept";
@@ -68,71 +68,71 @@
 
 TEST(Reload, ChangedIdempotencyAppliesToNewRequestsOnly) {
     StubServer server;
-    StubServer two;
+    StubServer secondServer;
     NodeProcess::Options options = withAdminServer(server);
-    options.servers.emplace_back("s-2", two.address());
+    options.servers.emplace_back("s-2", secondServer.address());
     options.idempotency = "single_shot";
     NodeProcess node{options};
     const auto attempt = [&] {
-        while (server.idle() && two.idle()) {
+        while (server.idle() && secondServer.idle()) {
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
-        return server.idle() ? two.next() : server.next();
+        return server.idle() ? secondServer.next() : server.next();
     };
-    TestConnection old = node.client(newOpeningLine());
+    TestConnection olderClient = node.client(newOpeningLine());
     auto first = attempt();
     options.idempotency = "free";
     reload(node, options);
     first.connection.reset();
-    EXPECT_EQ(old.line(), "ERR") << "it may have been executed, and was not idempotent when it came";
-    TestConnection fresh = node.client(newOpeningLine());
+    EXPECT_EQ(olderClient.line(), "ERR") << "it may have been executed, and was not idempotent when it came";
+    TestConnection newerClient = node.client(newOpeningLine());
     attempt().connection.reset();
     attempt().connection.send("UP r2\r\n");
-    EXPECT_EQ(fresh.line(), "UP r2");
+    EXPECT_EQ(newerClient.line(), "UP r2");
 }
 
-TEST(Reload, AppliesNothingOfAnInvalidFile) {
+TEST(Reload, InvalidFileChangesNoSetting) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
-    const std::string sound = NodeProcess::config(options);
-    const auto optionsFor = [&sound](const std::string& what, const std::string& instead) {
-        return replaced(sound, what, instead);
+    const std::string validConfig = NodeProcess::config(options);
+    const auto configWith = [&validConfig](const std::string& what, const std::string& replacement) {
+        return replaced(validConfig, what, replacement);
     };
-    std::vector<std::string> broken = {
+    std::vector<std::string> invalidConfigs = {
         "",
-        sound.substr(0, sound.size() / 2),
-        sound.substr(0, sound.size() - 1),
+        validConfig.substr(0, validConfig.size() / 2),
+        validConfig.substr(0, validConfig.size() - 1),
         "[]",
         "{}",
-        optionsFor("\"attemptsCap\":4,", ""),
-        optionsFor("\"attemptsCap\":4", "\"attemptsCap\":0"),
-        optionsFor("\"attemptsCap\":4", "\"attemptsCap\":-2"),
-        optionsFor("\"attemptsCap\":4", "\"attemptsCap\":\"4\""),
-        optionsFor("\"attemptsCap\":4", "\"attemptsCap\":null"),
-        optionsFor("\"giveUp\":20000000", "\"giveUp\":0"),
-        optionsFor("\"giveUp\":20000000", "\"giveUp\":-1"),
-        optionsFor("\"giveUp\":20000000", "\"giveUp\":1e999"),
-        optionsFor("\"giveUp\":20000000", "\"giveUp\":\"soon\""),
-        optionsFor(",\"giveUp\":20000000", ""),
-        optionsFor("\"aim\":20000000", "\"aim\":0"),
-        optionsFor("\"repeat\":\"free\"", "\"repeat\":\"perhaps\""),
-        optionsFor("\"name\":\"chat\",", ""),
-        optionsFor("\"rules\":{\"drainGrace\":500000", "\"rules\":{\"other\":1"),
-        optionsFor("\"limits\":{\"sockets\":500}", "\"limits\":{\"sockets\":-5}"),
-        optionsFor("\"settings\"", "\"setting\""),
-        optionsFor("\"known\"", "\"unknown\""),
+        configWith("\"attemptsCap\":4,", ""),
+        configWith("\"attemptsCap\":4", "\"attemptsCap\":0"),
+        configWith("\"attemptsCap\":4", "\"attemptsCap\":-2"),
+        configWith("\"attemptsCap\":4", "\"attemptsCap\":\"4\""),
+        configWith("\"attemptsCap\":4", "\"attemptsCap\":null"),
+        configWith("\"giveUp\":20000000", "\"giveUp\":0"),
+        configWith("\"giveUp\":20000000", "\"giveUp\":-1"),
+        configWith("\"giveUp\":20000000", "\"giveUp\":1e999"),
+        configWith("\"giveUp\":20000000", "\"giveUp\":\"soon\""),
+        configWith(",\"giveUp\":20000000", ""),
+        configWith("\"aim\":20000000", "\"aim\":0"),
+        configWith("\"repeat\":\"free\"", "\"repeat\":\"perhaps\""),
+        configWith("\"name\":\"chat\",", ""),
+        configWith("\"rules\":{\"drainGrace\":500000", "\"rules\":{\"other\":1"),
+        configWith("\"limits\":{\"sockets\":500}", "\"limits\":{\"sockets\":-5}"),
+        configWith("\"settings\"", "\"setting\""),
+        configWith("\"known\"", "\"unknown\""),
     };
     options.classes = {};
-    broken.push_back(NodeProcess::config(options));
+    invalidConfigs.push_back(NodeProcess::config(options));
     options.classes = {"chat", "chat"};
-    broken.push_back(NodeProcess::config(options));
+    invalidConfigs.push_back(NodeProcess::config(options));
     options.classes = {"other"};
-    for (const std::string& text : broken) {
+    for (const std::string& text : invalidConfigs) {
         node.reload(text);
         EXPECT_NE(node.awaitLogLine("configuration "), "") << text;
     }
-    EXPECT_EQ(node.metric("conf_invalid"), static_cast<long>(broken.size()));
+    EXPECT_EQ(node.metric("conf_invalid"), static_cast<long>(invalidConfigs.size()));
     EXPECT_EQ(node.metric("conf_loaded"), 0);
     establishConnection(node, server);
     reload(node, options);
@@ -140,7 +140,7 @@
     EXPECT_EQ(node.stop(), 0) << node.remainingLog();
 }
 
-TEST(Reload, TheLastOfManyInARowApplies) {
+TEST(Reload, LastOfSeveralConsecutiveReloadsApplies) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
@@ -155,8 +155,8 @@
     } while (server.idle());  // ERR until the last file has been read
     server.next().connection.send("UP r1\r\n");
     EXPECT_EQ(client.line(), "UP r1");
-    TestConnection gone = node.client(openingOf("c3"));
-    EXPECT_EQ(gone.line(), "ERR");
+    TestConnection clientOfRemovedClass = node.client(openingOf("c3"));
+    EXPECT_EQ(clientOfRemovedClass.line(), "ERR");
 }
 
 // The configuration of another kind of deployment: nodes, zones, discovery mode, prices, goal, groups.
@@ -171,8 +171,8 @@
         {"\"grades\"", R"("prices":{"crossZone":0.13},"goal":{"availability":0.3,"topNines":3.0,"whole":0.1},
         "familyInfo":{"groups":true},"grades")"},
     };
-    for (const auto& [what, instead] : changes) {
-        text = replaced(text, what, instead);
+    for (const auto& [what, replacement] : changes) {
+        text = replaced(text, what, replacement);
     }
     return text;
 }
@@ -182,26 +182,26 @@
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
-    const std::string old = replaced(
+    const std::string firstDeployment = replaced(
         replaced(NodeProcess::config(options), "\"instances\":1", R"("instances":1,"me":0,"zone":0)"),
         "\"grades\"",
         R"("prices":{"crossZone":0.02},"goal":{"whole":1},"familyInfo":{"groups":false},"grades")");
-    const std::string next = otherDeployment(options);
-    reload(node, old);
+    const std::string secondDeployment = otherDeployment(options);
+    reload(node, firstDeployment);
     EstablishedPair first = establishConnection(node, server);
-    TestConnection asked = node.client(newOpeningLine());
-    auto out = server.next();
-    reload(node, next);
-    out.connection.send("UP r2\r\n");
-    EXPECT_EQ(asked.line(), "UP r2") << "in flight at the switch";
+    TestConnection pendingClient = node.client(newOpeningLine());
+    auto pendingAttempt = server.next();
+    reload(node, secondDeployment);
+    pendingAttempt.connection.send("UP r2\r\n");
+    EXPECT_EQ(pendingClient.line(), "UP r2") << "in flight at the switch";
     EstablishedPair second = establishConnection(node, server);
-    TestConnection askedThen = node.client(newOpeningLine());
-    auto outThen = server.next();
-    node.reload(replaced(next, "0.13", "-0.1"));
+    TestConnection secondPendingClient = node.client(newOpeningLine());
+    auto secondPendingAttempt = server.next();
+    node.reload(replaced(secondDeployment, "0.13", "-0.1"));
     node.awaitLogLine("settings at prices.crossZone: out of range");
-    reload(node, old);
-    outThen.connection.send("UP r4\r\n");
-    EXPECT_EQ(askedThen.line(), "UP r4") << "in flight at the way back";
+    reload(node, firstDeployment);
+    secondPendingAttempt.connection.send("UP r4\r\n");
+    EXPECT_EQ(secondPendingClient.line(), "UP r4") << "in flight at the way back";
     EstablishedPair third = establishConnection(node, server);
     for (EstablishedPair* pair : {&first, &second, &third}) {
         pair->client.send("x\r\n");
@@ -216,7 +216,7 @@
 }
 
 // Regression: the node served on its first list for good, since nobody pushes one between sockets.
-TEST(Reload, WatchesTheListThoughTheSettingsSayThatItIsPushed) {
+TEST(Reload, WatchesTheListEvenIfTheSettingsSayThatItIsPushed) {
     StubServer server;
     StubDiscovery discovery;
     NodeProcess::Options options = optionsFor(server, discovery);
--- a/tests/virtual_clock.hpp
+++ b/tests/virtual_clock.hpp
@@ -22,14 +22,14 @@
     std::size_t wait(int epoll, std::span<epoll_event> events, Micros timeout) override {
         std::size_t count = poll(epoll, events, Micros{0});
         if (count > 0 || timeout == Micros{0}) return count;
-        count = poll(epoll, events, kDeliveryGrace);
+        count = poll(epoll, events, kLoopbackDeliveryTime);
         if (count == 0) now_ += timeout;
         return count;
     }
 
   private:
     // Real time for the kernel to deliver what one socket of this process has sent to another.
-    static constexpr Micros kDeliveryGrace{200};
+    static constexpr Micros kLoopbackDeliveryTime{200};
     static constexpr Time kStart{1'700'000'000'000'000};  // any Unix time
 
     static std::size_t poll(int epoll, std::span<epoll_event> events, Micros timeout) {
