--- a/examples/stub_servers.cpp
+++ b/examples/stub_servers.cpp
@@ -1,7 +1,8 @@
-// Stub servers and a stub discovery service on loopback, to try the node with: see examples/README.md.
+// Stub servers and a stub discovery service on loopback for trying out the node: see examples/README.md.
 //
-// Servers s-1, s-2 and s-3 answer OPEN with UP, echo every line, and end the connection at the line "bye".
-// The discovery service lists them. Lines on standard input change the list: "leave s-2", "return s-2".
+// The servers s-1, s-2 and s-3 answer OPEN with UP, PING and STATS with PONG, and "bye" with BYE and the end
+// of the connection. They echo all other lines. The discovery service lists the servers. Commands on standard
+// input change the list: "leave s-2", "return s-2".
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -31,13 +32,13 @@
 constexpr int kFirstServerPort = 9001;
 constexpr const char* kDiscoveryAddress = "127.0.0.1:8500";
 constexpr double kServerCapacity = 10.0;        // connections
-constexpr Micros kWatchHeartbeatInterval = 2s;  // of empty lines on a watch
-constexpr Micros kCommandPollInterval = 100ms;  // of standard input, which may be a pipe
+constexpr Micros kWatchHeartbeatInterval = 2s;  // between empty lines on a watch
+constexpr Micros kCommandPollInterval = 100ms;  // between reads of standard input, which may be a pipe
 
 struct StubServer {
     std::string name;
     std::string address;
-    std::string state = "active";  // as discovery lists it
+    std::string state = "active";  // in the endpoint list
     int openConnections = 0;
 };
 
@@ -45,7 +46,7 @@
 struct StubFleet {
     Scheduler scheduler;
     std::vector<StubServer> servers;
-    std::vector<Signal*> watchers;  // raised when the list has changed
+    std::vector<Signal*> watchers;  // signals of the open watches, raised when the list has changed
     std::uint64_t listVersion = 1;
 };
 
@@ -60,7 +61,7 @@
     }
 }
 
-// Waits for the next line. False if the peer has closed the connection or the line is too long.
+// Waits for the next line. Returns false if the peer has closed the connection or the line is too long.
 Task<bool> receiveLine(Signal& signal, Connection& connection, std::string& line) {
     for (;;) {
         connection.fill();
@@ -74,7 +75,7 @@
     }
 }
 
-// Accepts connections at an address forever; `serve` is the coroutine for each.
+// Accepts connections at an address until the program ends; `serve` returns the coroutine that serves one.
 template <class Serve>
 Task<void> acceptAt(Scheduler& scheduler, std::string address, Serve serve) {
     Signal signal{scheduler};
@@ -150,7 +151,7 @@
     return size.data() + text + "\r\n";
 }
 
-// Waits until the list is newer than that version, the heartbeat is due, or the peer has closed the watch.
+// Waits until the list is newer than `sentVersion`, the heartbeat is due, or the peer has closed the watch.
 Task<void> awaitListChange(StubFleet& fleet, Signal& signal, Connection& connection,
                            std::uint64_t sentVersion) {
     const Time deadline = fleet.scheduler.now() + kWatchHeartbeatInterval;
@@ -160,7 +161,7 @@
     }
 }
 
-// A watch: the full list after every change, an empty line as heartbeat.
+// Serves a watch: sends the full list after every change, and an empty line as heartbeat.
 Task<void> serveWatch(StubFleet& fleet, int descriptor) {
     Signal signal{fleet.scheduler};
     Connection connection{Socket{signal, descriptor}};
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -1,4 +1,4 @@
-// Why the configuration of a node cannot be used.
+// The error type of an invalid node configuration.
 #pragma once
 
 #include <stdexcept>
@@ -8,7 +8,7 @@
 
 class ConfigError : public std::runtime_error {
   public:
-    // `location`: the path of the key in the configuration, such as "limits.sockets".
+    // `location`: where the error is, usually the path of the key, such as "limits.sockets".
     ConfigError(const std::string& location, const std::string& reason)
         : std::runtime_error("bad configuration at " + location + ": " + reason), location_(location) {}
 
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -22,15 +22,15 @@
 
 constexpr int kSeedBase = 16;
 
-// Keys that the settings of some deployments have and those of others lack: their defaults are what the
-// others mean, so that they do not make a reloaded file incomplete.
+// Keys that the settings of some deployments have and those of others lack. Deployments without these keys
+// rely on the defaults, so a reloaded file that lacks them is not incomplete.
 constexpr std::array<std::string_view, 3> kOptionalKeys = {
     "settings.goal.availability",
     "settings.goal.topNines",
     "settings.grades.aimStretch",
 };
 
-// The list as last known: its entries come and go.
+// The last known endpoint list. Its entries change, so a reload does not compare their keys.
 constexpr std::string_view kKnownListKey = "known";
 
 Json parseDocument(const std::string& text) {
@@ -39,7 +39,7 @@
     } catch (const Json::parse_error& error) {
         throw ConfigError("byte " + std::to_string(error.byte), "not JSON");
     } catch (const Json::exception& error) {
-        throw ConfigError("the document", std::string("not JSON that can be read: ") + error.what());
+        throw ConfigError("the document", std::string("not JSON that can be parsed: ") + error.what());
     }
 }
 
@@ -63,7 +63,7 @@
 
 Address parseAddress(const std::string& text, const char* key) {
     const auto address = Address::parse(text);
-    if (!address) throw ConfigError(key, "not an address: \"" + text + "\"");
+    if (!address) throw ConfigError(key, "not an address of the form 127.0.0.1:8080: \"" + text + "\"");
     return *address;
 }
 
@@ -80,13 +80,13 @@
     return parseAddress(text, "discovery");
 }
 
-// 0 if it is not stated.
+// Returns 0 if the configuration has no limit.
 std::size_t descriptorLimitOf(const Json& document) {
     const Json* limits = find(document, "limits");
     const Json* sockets = limits == nullptr ? nullptr : find(*limits, "sockets");
     if (sockets == nullptr) return 0;
     if (!sockets->is_number_unsigned() || sockets->get<std::size_t>() == 0)
-        throw ConfigError("limits.sockets", "not a positive integer");
+        throw ConfigError("limits.sockets", "expected a positive integer");
     return sockets->get<std::size_t>();
 }
 
@@ -109,11 +109,11 @@
 std::uint64_t seedOf(const Json& document) {
     const std::string text = textOf(document, "seed", "0");
     const auto seed = parseNumber<std::uint64_t>(text, kSeedBase);
-    if (!seed) throw ConfigError("seed", "not a hexadecimal number: \"" + text + "\"");
+    if (!seed) throw ConfigError("seed", "not a hexadecimal number of at most 64 bits: \"" + text + "\"");
     return *seed;
 }
 
-// The keys of an object that have a value.
+// The keys of an object whose values are not null.
 std::set<std::string> keysOfObject(const Json& object) {
     std::set<std::string> keys;
     if (!object.is_object()) return keys;
@@ -123,7 +123,7 @@
     return keys;
 }
 
-// Likewise of a list of objects: those that all of them have.
+// The keys of an object, or the keys that all objects of an array have; values that are null do not count.
 std::set<std::string> keysOf(const Json& value) {
     if (!value.is_array() || value.empty()) return keysOfObject(value);
     std::set<std::string> common = keysOfObject(value.front());
@@ -173,8 +173,8 @@
     config.settings = settingsOf(document);
     config.settings.settings.seed = seedOf(document);
     config.text = text;
-    // Between sockets nobody pushes the list: without a poll the watch would not begin, nor begin again after
-    // it broke.
+    // Discovery does not open connections to the node to push the list: without polling, the watch would
+    // neither begin nor begin again after its connection fails.
     config.listPushed = config.settings.settings.discoveryMode == DiscoveryMode::Push;
     config.settings.settings.discoveryMode = DiscoveryMode::Poll;
     return config;
@@ -182,7 +182,9 @@
 
 Config readConfig(ConfigReadMode mode) {
     const std::string path = fromEnvironment("RELAY_CONFIG", "");
-    if (path.empty()) throw ConfigError("RELAY_CONFIG", "it must name the configuration file");
+    if (path.empty())
+        throw ConfigError("RELAY_CONFIG",
+                          "the environment variable must be set to the path of the configuration file");
     std::ifstream file(path, std::ios::binary);
     if (!file) throw ConfigError(path, "the file cannot be read");
     return parseConfig({std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()}, mode);
--- a/src/config/node_config.hpp
+++ b/src/config/node_config.hpp
@@ -1,4 +1,4 @@
-// The configuration of a node: the environment, and the JSON file that it names.
+// The configuration of a node: environment variables, and the JSON file that RELAY_CONFIG names.
 #pragma once
 
 #include <cstddef>
@@ -16,24 +16,24 @@
     std::string name;
     Address listen;
     Address discovery;
-    std::optional<Address> adminAddress;  // none: there is no admin server
-    std::size_t sockets = 0;              // descriptors that the process may have open; 0: not stated
-    MembershipUpdate known;               // the endpoint list as last known
+    std::optional<Address> adminAddress;  // none: the node has no admin server
+    std::size_t sockets = 0;              // limit of open descriptors; 0: no limit is configured
+    MembershipUpdate known;               // the last known endpoint list
     NodeSettings settings;
-    bool listPushed = false;  // the deployment pushes the endpoint list; the node polls it nevertheless
-    std::string text;         // of the file
+    bool listPushed = false;  // the settings say "push"; the node polls the endpoint list nevertheless
+    std::string text;         // of the configuration file
 };
 
-// At startup the environment overrides the file. At a reload the file's discovery address overrides the
-// environment: it is newer.
+// At startup the environment overrides the file. At a reload the discovery address in the file overrides the
+// environment, because the file is newer.
 enum class ConfigReadMode { Startup, Reload };
 
 // Reads the file that RELAY_CONFIG names. Throws ConfigError or SettingsError.
 Config readConfig(ConfigReadMode mode = ConfigReadMode::Startup);
 Config parseConfig(const std::string& text, ConfigReadMode mode = ConfigReadMode::Startup);
 
-// The path of the first key that the current configuration has and the next one lacks: a reloaded file
-// without it counts as incomplete. None if there is no such key.
+// The path of the first required key that the current configuration has and the next one lacks: a reloaded
+// file without that key is incomplete. None if there is no such key.
 std::optional<std::string> firstMissingKey(const Config& next, const Config& current);
 
 }  // namespace ivyreel
--- a/src/config/report_field.cpp
+++ b/src/config/report_field.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Two vocabularies are in use.
+// Endpoints use two sets of names for the same fields.
 constexpr auto kFieldNames = std::to_array<std::pair<std::string_view, ReportField>>({
     {"active", ReportField::ActiveRequests},
     {"inflight", ReportField::ActiveRequests},
@@ -25,7 +25,7 @@
     {"x1", ReportField::Backlog},
 });
 
-// Where a field is in a load report; none for an unknown one.
+// The member of LoadReport that holds a field; nullptr for ReportField::Unknown.
 std::optional<double> LoadReport::*memberOf(ReportField field) {
     switch (field) {
         case ReportField::ActiveRequests:
--- a/src/config/report_field.hpp
+++ b/src/config/report_field.hpp
@@ -1,4 +1,4 @@
-// The values of a load report, by the names that servers and settings give them.
+// The fields of a load report, and the names that endpoints and settings use for them.
 #pragma once
 
 #include <string_view>
@@ -19,10 +19,10 @@
     Unknown
 };
 
-// The field that a load report calls by this name.
+// The field that has this name in load reports; Unknown if there is none.
 ReportField reportField(std::string_view name);
 
-// Sets one value of a load report; an unknown field is ignored.
+// Sets the value of one field of a load report; ReportField::Unknown is ignored.
 void setReportedValue(LoadReport& report, ReportField field, double value);
 
 }  // namespace ivyreel
--- a/src/config/section_reader.cpp
+++ b/src/config/section_reader.cpp
@@ -12,12 +12,14 @@
     if (!value.is_number()) throw SettingsError(path, "expected a number");
     const auto number = value.get<double>();
     const bool inRange = number >= minimum && number <= maximum;
-    if (!inRange) throw SettingsError(path, "out of range");
+    if (!inRange)
+        throw SettingsError(path, "out of range: expected a number from " + Json(minimum).dump() + " to " +
+                                      Json(maximum).dump() + ", got " + value.dump());
     return number;
 }
 
 std::string stringIn(const Json& value, const std::string& path) {
-    if (!value.is_string()) throw SettingsError(path, "expected a word");
+    if (!value.is_string()) throw SettingsError(path, "expected a string");
     return value.get<std::string>();
 }
 
@@ -100,7 +102,7 @@
     static const Json kEmpty = Json::array();
     const Json* value = find(key);
     if (value == nullptr) return kEmpty;
-    if (!value->is_array()) throw SettingsError(pathOf(key), "expected a list");
+    if (!value->is_array()) throw SettingsError(pathOf(key), "expected an array");
     return *value;
 }
 
--- a/src/config/section_reader.hpp
+++ b/src/config/section_reader.hpp
@@ -1,4 +1,4 @@
-// Reads one object of a JSON document. Every error names the path of the key that it is about.
+// Reads one object of a JSON document. Every error names the path of the key whose value is invalid.
 #pragma once
 
 #include <cstddef>
@@ -14,14 +14,15 @@
 
 namespace ivyreel {
 
-// A key that is absent or null has its fallback. All accessors throw SettingsError for a value of another
-// type, and for one that is out of range. The document must outlive the reader.
+// The accessors return the fallback if a key is absent or null. They throw SettingsError if a value has
+// another type or is out of range. The document must outlive the reader.
 class SectionReader {
   public:
-    // Larger numbers are taken for mistakes: as microseconds, this is 32 years.
+    // Larger numbers are rejected as mistakes: in microseconds, this limit is 32 years.
     static constexpr double kMaxNumber = 1e15;
 
-    // `path`: of the object in the document, such as "bounds" or "grades[2]"; empty for the document itself.
+    // `path`: the path of the object in the document, such as "bounds" or "grades[2]"; empty for the document
+    // itself.
     SectionReader(const nlohmann::json& object, std::string path);
 
     bool has(const char* key) const { return find(key) != nullptr; }
@@ -31,17 +32,18 @@
     std::uint32_t count(const char* key, std::uint32_t fallback, std::uint32_t minimum = 0,
                         std::uint32_t maximum = UINT32_MAX) const;
     bool flag(const char* key, bool fallback) const;
-    // Empty if it is absent.
+    // Empty if the key is absent or null.
     std::string text(const char* key) const;
-    // The value that stands beside the word in the list.
+    // The value that `choices` pairs with the string at this key.
     template <class T>
     T choice(const char* key, T fallback, std::initializer_list<std::pair<const char*, T>> choices) const;
 
-    // An absent section reads as an empty one.
+    // If the key is absent, the section is empty.
     SectionReader section(const char* key) const;
     std::vector<SectionReader> sections(const char* key) const;
     std::vector<std::string> strings(const char* key) const;
-    // An element of a list of numbers that are not negative; the fallback where the list ends before it.
+    // The element at `index` of an array of non-negative numbers; the fallback if the array has no such
+    // element or the element is null.
     double numberAt(const char* key, std::size_t index, double fallback) const;
 
     // The path of a key in the document.
@@ -64,7 +66,7 @@
     for (const auto& [name, value] : choices) {
         if (word == name) return value;
     }
-    throw SettingsError(pathOf(key), "unknown word \"" + word + "\"");
+    throw SettingsError(pathOf(key), "unknown value \"" + word + "\"");
 }
 
 }  // namespace ivyreel
--- a/src/config/settings_error.hpp
+++ b/src/config/settings_error.hpp
@@ -1,4 +1,4 @@
-// Why settings cannot be used.
+// The error type of invalid settings.
 #pragma once
 
 #include <stdexcept>
@@ -8,7 +8,7 @@
 
 class SettingsError : public std::runtime_error {
   public:
-    // `location`: the path of the key in the settings, such as "grades[0].giveUp".
+    // `location`: where the error is, usually the path of the key, such as "grades[0].giveUp".
     SettingsError(const std::string& location, const std::string& reason)
         : std::runtime_error("bad settings at " + location + ": " + reason), location_(location) {}
 
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -13,10 +13,10 @@
 
 using Json = nlohmann::json;
 
-// An attempt's index has eight bits.
+// The index of an attempt has eight bits.
 constexpr double kMaxAttempts = 255.0;
 
-// Of shares and multiples: with 0, slow start would never end.
+// The minimum of shares and multiples: with a share of 0, slow start would never end.
 constexpr double kSmallestShare = 1e-9;
 
 Json parseDocument(std::string_view text) {
@@ -25,7 +25,7 @@
     } catch (const Json::parse_error& error) {
         throw SettingsError("byte " + std::to_string(error.byte), "not JSON");
     } catch (const Json::exception& error) {
-        throw SettingsError("the document", std::string("not JSON that can be read: ") + error.what());
+        throw SettingsError("the document", std::string("not JSON that can be parsed: ") + error.what());
     }
 }
 
@@ -92,12 +92,13 @@
     }
 }
 
-// The name of a class or a tenant. None may come twice, but several may have none.
+// Reads the name of a class or a tenant. No two of them may have the same name, but several may have no name.
 std::string readName(const SectionReader& section, const std::vector<std::string>& earlierNames) {
     std::string name = section.text("name");
     const auto earlier = std::find(earlierNames.begin(), earlierNames.end(), name);
     const bool repeated = !name.empty() && earlier != earlierNames.end();
-    if (repeated) throw SettingsError(section.pathOf("name"), "\"" + name + "\" comes twice");
+    if (repeated)
+        throw SettingsError(section.pathOf("name"), "\"" + name + "\" is the name of an earlier entry");
     return name;
 }
 
--- a/src/config/settings_parser.hpp
+++ b/src/config/settings_parser.hpp
@@ -1,5 +1,5 @@
-// Reads the settings of a deployment from their JSON text, and maps their keys and words to the terms of the
-// code. Unknown keys are ignored; docs/design.md lists the defaults.
+// Reads the settings of a deployment from their JSON text, and maps their keys and string values to the terms
+// of the code. Unknown keys are ignored; docs/design.md lists the defaults.
 #pragma once
 
 #include <string>
@@ -12,21 +12,21 @@
 
 namespace ivyreel {
 
-// The settings of the decision module, and what the node around it needs beside them.
+// The settings of the decision module, and the other settings that the node needs.
 struct NodeSettings {
     Settings settings;
     std::vector<ReportField> reportFields;  // the order of the values in a load report
-    // Names by the index that stands for them in the settings of the decision module.
+    // Names, at the indices that the decision module uses in their place.
     std::vector<std::string> classNames;
     std::vector<std::string> tenantNames;
     std::vector<std::string> zoneNames;
-    std::vector<std::string> kindNames;  // of servers
-    // Servers report how long a message takes, beside the load of a connection.
+    std::vector<std::string> kindNames;  // of endpoints
+    // Endpoints report how long a message takes in addition to the load of a connection.
     bool reportsMessageDelay = false;
-    Micros idleTimeout{15'000'000};  // a connection for health checks that is unused so long is closed
+    Micros idleTimeout{15'000'000};  // after which an unused health check connection is closed
 };
 
-// Throws SettingsError.
+// Parses the settings. Throws SettingsError.
 NodeSettings parseSettings(std::string_view text);
 
 }  // namespace ivyreel
--- a/src/hot_restart/established_connection.hpp
+++ b/src/hot_restart/established_connection.hpp
@@ -1,5 +1,5 @@
-// An established connection between two steps of its relay, and the interface to the process that takes it
-// over.
+// The state of an established connection, as a relay stores it and a hot restart transfers it, and the
+// interface through which relays transfer connections to the successor.
 #pragma once
 
 #include <cstddef>
@@ -11,26 +11,26 @@
 
 namespace ivyreel {
 
-// The bytes that a relay has read but not yet written, and its latency measurement.
+// The bytes that a relay has received but not yet sent, and its latency measurement.
 struct RelayState {
     std::string fromClient;
     std::string fromUpstream;
-    std::size_t toUpstream = 0;  // how many bytes at the front of fromClient are complete lines
-    std::size_t toClient = 0;    // likewise of fromUpstream
-    Time unanswered = kNever;    // arrival of the oldest client line without a response since
+    std::size_t toUpstream = 0;  // bytes at the front of fromClient that are complete lines
+    std::size_t toClient = 0;    // bytes at the front of fromUpstream that are complete lines
+    Time unanswered = kNever;    // arrival time of the oldest client line without a response
 };
 
-// A client's connection to an endpoint, as it moves between the relay, the handover and the successor.
+// A client's connection to an endpoint, in the form that relay, handover and successor exchange.
 struct EstablishedConnection {
     std::string opening;  // the client's first line
     EndpointId endpoint{};
-    std::optional<double> load;  // microseconds of work a second
+    std::optional<double> load;  // microseconds of work per second
     RelayState relay;
-    int clientSocket = -1;  // descriptors that belong to whoever has this object
+    int clientSocket = -1;  // descriptors, owned by the holder of this object
     int upstreamSocket = -1;
 };
 
-// The process that replaces this one, as the relays see it.
+// The interface of the relays to the process that replaces this one.
 class Successor {
   public:
     Successor() = default;
@@ -40,9 +40,10 @@
     Successor& operator=(Successor&&) = delete;
     virtual ~Successor() = default;
 
-    // Whether there is a successor that serves clients.
+    // Whether a successor is running and serves clients.
     virtual bool serves() const = 0;
-    // Transfers a connection and its descriptors to the successor; closes them if none serves any more.
+    // Transfers a connection and its descriptors to the successor. Closes the descriptors if no successor
+    // serves clients any more.
     virtual void give(const EstablishedConnection& connection) = 0;
 };
 
--- a/src/hot_restart/handover.cpp
+++ b/src/hot_restart/handover.cpp
@@ -21,12 +21,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kRequestTimeout = 2s;     // from a successor's connection to its request
-constexpr Micros kReportInterval = 100ms;  // at which the number of open descriptors is reported
+constexpr Micros kRequestTimeout = 2s;     // for a successor to send its request after it connects
+constexpr Micros kReportInterval = 100ms;  // between reports of the number of open descriptors
 
 }  // namespace
 
-// The link to one other node and what is known of that node; listed for as long as it lives.
+// The link to one peer node and the state of that peer. It is in Handover::sessions_ throughout its lifetime.
 struct Handover::Session {
     enum class Peer { Predecessor, Successor };
 
@@ -49,9 +49,9 @@
     std::list<Session*>::iterator position;
     HandoverLink link;
     Peer peer;
-    std::string adminAddress;             // of a successor
-    bool successorServes = false;         // it has notified this node
-    std::size_t reportedDescriptors = 0;  // to a successor, last
+    std::string adminAddress;             // of a successor's admin server
+    bool successorServes = false;         // the peer has sent its ServingNotice
+    std::size_t reportedDescriptors = 0;  // the last count that was sent to a successor
 };
 
 Handover::Handover(Scheduler& scheduler, HandoverDelegate& delegate, HandoverAddress address)
@@ -88,7 +88,7 @@
 }
 
 void Handover::stopListening() {
-    // A successor has replaced the socket file by its own.
+    // A successor that has the state has replaced the socket file with its own.
     listener_.close(stateHandedOver_ ? HandoverListener::File::Keep : HandoverListener::File::Remove);
 }
 
@@ -100,20 +100,22 @@
     if (!line) co_return;
     const std::optional<HandoverRequest> request = HandoverRequest::parse(*line);
     if (!request || !isAcceptable(*request)) {
-        spdlog::warn("hot restart: rejected the request of a process to replace this node");
+        spdlog::warn(
+            "hot restart: rejected a handover request that is malformed, has another protocol version or "
+            "listen address, or comes after another successor has received the state");
         co_return;
     }
     stateHandedOver_ = true;
     session.adminAddress = request->adminAddress;
     sendState(session);
-    spdlog::info("hot restart: state handed over to the successor");
+    spdlog::info("hot restart: this node has handed over its state to the successor");
     co_await exchangeMessages(session);
     stateHandedOver_ = false;
     if (session.successorServes) resumeServing(session);
     signal_.raise();
 }
 
-// The first line on the link; none if the peer closes the link or sends nothing in time.
+// Returns the first line on the link; none if the peer closes the link or sends no line before the timeout.
 Task<std::optional<std::string>> Handover::receiveRequest(HandoverLink& link) {
     const Time deadline = scheduler_.now() + kRequestTimeout;
     for (;;) {
@@ -138,7 +140,7 @@
 }
 
 void Handover::resumeServing(const Session& session) {
-    spdlog::warn("hot restart: the successor has exited, this node resumes serving");
+    spdlog::warn("hot restart: the link to the successor is closed; this node resumes serving");
     delegate_.successorServes(false, session.adminAddress);
 }
 
@@ -171,9 +173,9 @@
 
 Task<void> Handover::follow(int descriptor) {
     Session session{*this, descriptor, Session::Peer::Predecessor};
-    if (serving_) session.link.queue(encode(ServingNotice{}));  // serve() came before the session was listed
+    if (serving_) session.link.queue(encode(ServingNotice{}));  // serve() ran before this session was listed
     co_await exchangeMessages(session);
-    spdlog::info("hot restart: the predecessor has exited");
+    spdlog::info("hot restart: the link to the predecessor is closed");
     delegate_.onPredecessorDescriptorCount(0);
 }
 
@@ -184,7 +186,7 @@
 
 // ---- messages, in both roles ----
 
-// Sends and handles messages until the other side closes the link.
+// Sends and handles messages until the peer closes the link or sends an overlong message.
 Task<void> Handover::exchangeMessages(Session& session) {
     HandoverLink& link = session.link;
     const bool reports = session.peer == Session::Peer::Successor;
@@ -223,7 +225,7 @@
             },
             parseMessage(line));
     } catch (const std::exception& error) {
-        spdlog::warn("hot restart: ignored a message: {}", error.what());
+        spdlog::warn("hot restart: ignored an invalid message from the other node: {}", error.what());
     }
 }
 
@@ -248,7 +250,8 @@
     broadcast(encode(notice), &session);
 }
 
-// The descriptors are taken before the content is read: left on the link, they would go to the next transfer.
+// Takes the descriptors before it parses the content: an invalid transfer that left its descriptors on the
+// link would have them assigned to the next transfer.
 void Handover::handle(Session& session, const ConnectionTransfer& transfer) {
     if (session.peer != Session::Peer::Predecessor) return;
     UniqueDescriptor client{session.link.takeDescriptor()};
--- a/src/hot_restart/handover.hpp
+++ b/src/hot_restart/handover.hpp
@@ -1,9 +1,10 @@
-// Hot restart: a running node hands over to a process that replaces it, through a Unix socket.
+// Hot restart: a running node (the predecessor) hands over its state, its listening sockets and its
+// established connections to the process that replaces it (the successor), through a Unix socket.
 //
 // The successor sends a HandoverRequest (predecessor_state.hpp); the predecessor answers with its state and
-// its listening sockets. Both keep the connection open and exchange messages (handover_messages.hpp): bans,
-// reloads, open descriptors, connection transfers, and that the successor serves. docs/daily-service.md has
-// the order of events.
+// its listening sockets. Both keep the link open and exchange messages (handover_messages.hpp): bans,
+// reloads, counts of open descriptors, connection transfers, and the notice that the successor serves
+// clients. docs/daily-service.md lists the order of events.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +23,7 @@
 
 namespace ivyreel {
 
-// What a node provides for a handover, and how it reacts to one.
+// The node's part of a handover: it provides the state and handles the notices of the other node.
 class HandoverDelegate {
   public:
     HandoverDelegate() = default;
@@ -34,25 +35,25 @@
 
     // The node's state as one line (HandoverState::text).
     virtual std::string handoverState() const = 0;
-    // The listening sockets, which the node keeps; at most kMaxDescriptorsPerMessage.
+    // The listening sockets, at most kMaxDescriptorsPerMessage. The node keeps the ownership.
     virtual std::vector<int> listeners() const = 0;
-    // How many descriptors this process has open.
+    // The number of descriptors that this process has open.
     virtual std::size_t openDescriptorCount() const = 0;
-    // The successor, whose admin server is at `adminAddress`, serves clients. False: it has exited, and this
-    // node resumes serving.
+    // True: the successor, whose admin server is at `adminAddress`, serves clients. False: the successor has
+    // exited, and this node resumes serving.
     virtual void successorServes(bool serves, const std::string& adminAddress) = 0;
-    // The predecessor has this many descriptors open; 0: it has exited.
+    // The predecessor has this many descriptors open; 0 means that it has exited.
     virtual void onPredecessorDescriptorCount(std::size_t descriptors) = 0;
-    // At the other node, an operator has banned an endpoint or lifted its ban.
+    // An operator has banned an endpoint at the other node, or lifted its ban there.
     virtual void onBanChanged(EndpointId endpoint, bool banned) = 0;
-    // The other node got the signal to reload its configuration.
+    // The other node has received the signal to reload the configuration.
     virtual void onReload() = 0;
     // Takes over an established connection of the predecessor, with its descriptors.
     virtual void adopt(const EstablishedConnection& connection) = 0;
 };
 
-// Both roles of a hot restart: predecessor of any process that asks, and successor of the node before this
-// one.
+// Implements both roles of a hot restart: the predecessor of any process that requests a handover, and the
+// successor of the node that ran before.
 class Handover final : public Successor {
   public:
     Handover(Scheduler& scheduler, HandoverDelegate& delegate, HandoverAddress address);
@@ -62,17 +63,19 @@
     Handover& operator=(Handover&&) = delete;
     ~Handover() override { stopListening(); }
 
-    // Opens the socket at which a successor finds this node. False if hot restart is disabled or it failed.
+    // Opens the socket to which a successor connects. Returns false if hot restart is disabled or the socket
+    // cannot be opened.
     bool open();
-    // Serves successors for as long as the node runs.
+    // Accepts and serves successors for as long as the node runs.
     Task<void> listen();
-    // Exchanges messages with the predecessor, over the link that this owns from now on, until it exits.
+    // Exchanges messages with the predecessor until it exits. Takes the ownership of `descriptor`, the link
+    // to the predecessor.
     Task<void> follow(int descriptor);
-    // Notifies the predecessor that this node serves from now on.
+    // Notifies the predecessor that this node serves clients from now on.
     void serve();
     // Notifies the other nodes that an operator has banned an endpoint here, or lifted its ban.
     void notifyBan(EndpointId endpoint, bool banned);
-    // Notifies the other nodes that the configuration is to be read again.
+    // Notifies the other nodes that they are to reload the configuration.
     void notifyReload();
 
     bool serves() const override;
@@ -107,7 +110,7 @@
     Signal signal_;
     HandoverListener listener_;
     bool stateHandedOver_ = false;  // to a successor whose link is open
-    bool serving_ = false;          // this node serves clients, and its predecessor was notified
+    bool serving_ = false;          // serve() was called; the predecessor is notified
     std::list<Session*> sessions_;
 };
 
--- a/src/hot_restart/handover_address.cpp
+++ b/src/hot_restart/handover_address.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxFileStemChars = 60;  // leaves room for the directory in a socket address
+constexpr std::size_t kMaxFileStemChars = 60;  // leaves space for the directory in a socket address
 constexpr int kListenBacklog = 4;
 
 }  // namespace
@@ -38,12 +38,14 @@
     const int descriptor = newUnixSocket();
     if (descriptor < 0) return false;
     socket_ = Socket{signal_, descriptor};
-    // The rename replaces the file of another process in one step, once this socket listens.
+    // The rename replaces the socket file of another process atomically, after this socket has begun to
+    // listen.
     if (::bind(descriptor, temporary.address(), temporary.size()) == 0 &&
         ::chmod(temporary.path(), S_IRUSR | S_IWUSR) == 0 && ::listen(descriptor, kListenBacklog) == 0 &&
         ::rename(temporary.path(), address.path()) == 0)
         return true;
-    spdlog::info("hot restart: disabled, cannot listen in {}: {}", address_.directory, std::strerror(errno));
+    spdlog::info("hot restart: disabled because the node cannot listen on a socket file in {}: {}",
+                 address_.directory, std::strerror(errno));
     socket_.close();
     return false;
 }
--- a/src/hot_restart/handover_address.hpp
+++ b/src/hot_restart/handover_address.hpp
@@ -1,4 +1,4 @@
-// Where a successor finds a running node in the file system, and the node's listening socket there.
+// The Unix socket file through which a successor finds a running node, and the node's listener on it.
 #pragma once
 
 #include <optional>
@@ -10,12 +10,12 @@
 
 namespace ivyreel {
 
-// The socket file of a node, and the addresses that predecessor and successor compare.
+// The location of a node's socket file, and the node's own addresses.
 struct HandoverAddress {
     std::string directory;     // empty: hot restart is disabled
     std::string name;          // of the node
-    std::string listen;        // where it serves clients; a successor must ask for the same address
-    std::string adminAddress;  // of its admin server; empty if it has none
+    std::string listen;        // where the node serves clients; a successor must have the same address
+    std::string adminAddress;  // of the node's admin server; empty if it has none
 
     // The name of the socket file in the directory.
     std::string fileName() const;
@@ -24,19 +24,21 @@
 // The Unix socket on which a node accepts connections of successors.
 class HandoverListener {
   public:
-    // What becomes of the socket file when the listener closes. A successor replaces the file by its own.
+    // Whether close() removes the socket file. After a handover the file belongs to the successor.
     enum class File { Keep, Remove };
 
-    // The signal is raised when connections arrive.
+    // `signal` is raised when connections arrive.
     HandoverListener(Signal& signal, HandoverAddress address)
         : signal_(signal), address_(std::move(address)) {}
 
     const HandoverAddress& address() const { return address_; }
     // Whether the listener is open.
     explicit operator bool() const { return static_cast<bool>(socket_); }
-    // Replaces the socket file, if there is one, and listens. False, with the reason logged, on failure.
+    // Replaces the socket file, if there is one, and listens on the new one. Returns false on failure; a
+    // failed system call on the socket file is logged.
     bool open();
-    // The descriptor of the next waiting connection; none if there is none or the listener is closed.
+    // The descriptor of the next pending connection; none if no connection is pending or the listener is
+    // closed.
     std::optional<int> accept();
     void close(File file);
 
--- a/src/hot_restart/handover_error.hpp
+++ b/src/hot_restart/handover_error.hpp
@@ -5,7 +5,7 @@
 
 namespace ivyreel {
 
-// The other process sent something that cannot be used: malformed, inconsistent, or of another version.
+// The other process has sent data that is malformed, inconsistent or of another version.
 class HandoverError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
--- a/src/hot_restart/handover_link.cpp
+++ b/src/hot_restart/handover_link.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxMessageBytes = 256UL * 1024;  // fits a connection with two full buffers, in hex
+constexpr std::size_t kMaxMessageBytes = 256UL * 1024;  // fits a connection with two full buffers in hex
 constexpr std::size_t kReadBytes = 16384;
 
 }  // namespace
@@ -57,7 +57,8 @@
 }
 
 int HandoverLink::takeDescriptor() {
-    if (receivedDescriptors_.empty()) throw HandoverError("a connection transfer without its descriptors");
+    if (receivedDescriptors_.empty())
+        throw HandoverError("connection transfer arrived without its client and endpoint sockets");
     const int descriptor = receivedDescriptors_.front();
     receivedDescriptors_.erase(receivedDescriptors_.begin());
     return descriptor;
@@ -76,8 +77,8 @@
     }
 }
 
-// Sends the beginning of a packet, and closes its descriptors once they are sent. Returns how many bytes were
-// sent.
+// Sends as much of the packet as the socket accepts, and closes its descriptors once they are sent. Returns
+// the number of bytes sent.
 std::size_t HandoverLink::sendFront(Packet& packet) {
     std::size_t sent = 0;
     if (packet.descriptors.empty()) {
--- a/src/hot_restart/handover_link.hpp
+++ b/src/hot_restart/handover_link.hpp
@@ -1,4 +1,4 @@
-// The connection between predecessor and successor: lines of text, some of which carry descriptors.
+// The link between predecessor and successor: lines of text, some of which carry file descriptors.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,8 @@
 
 namespace ivyreel {
 
-// One end of the connection. It owns the descriptors that wait in it, in either direction.
+// One end of the link. It owns the descriptors that are queued to be sent, and the received ones that have
+// not been taken.
 class HandoverLink {
   public:
     HandoverLink(Scheduler& scheduler, int descriptor);
@@ -23,21 +24,22 @@
     HandoverLink& operator=(HandoverLink&&) = delete;
     ~HandoverLink();
 
-    // Raised when data arrived or more can be sent.
+    // Raised when data has arrived or more can be sent.
     Signal& signal() { return signal_; }
     // Whether the peer has closed the link, or the link failed.
     bool ended() const { return connection_.over(); }
-    // Whether the peer sent more than a message may have; the rest is not read.
+    // Whether the received data has reached the maximum size of a message; receive() then reads no more.
     bool overflowed() const;
 
-    // Reads all that has arrived, until the buffer is full.
+    // Reads what has arrived, until it overflows.
     void receive();
     // Takes the next complete message, without its line end; none if there is none.
     std::optional<std::string> nextMessage();
     // Takes the next received descriptor. Throws HandoverError if there is none.
     int takeDescriptor();
 
-    // Queues a line and the descriptors that go with its first byte, which the link owns from now on.
+    // Queues a line and the descriptors that go with its first byte. The link takes the ownership of the
+    // descriptors.
     void queue(std::string line, std::vector<int> descriptors = {});
     // Sends as much of the queue as the socket accepts.
     void flush();
--- a/src/hot_restart/handover_messages.cpp
+++ b/src/hot_restart/handover_messages.cpp
@@ -38,7 +38,8 @@
     return message.dump() + "\n";
 }
 
-// Whether a relay can resume the connection: a valid opening line, and no more to send than is buffered.
+// Whether a relay can resume the connection: its opening line is valid, and the counts of bytes to send do
+// not exceed the buffered bytes.
 bool isConsistent(const EstablishedConnection& connection) {
     const auto line = firstLine(connection.opening);
     if (!line || !OpeningLine::parse(line->text)) return false;
@@ -59,7 +60,7 @@
     return connection;
 }
 
-// The message's type follows from the key that it has.
+// The key that is present determines the type of the message.
 HandoverMessage messageFrom(Json content) {
     if (content.contains("serves")) return ServingNotice{};
     if (content.contains("holds")) return DescriptorCount{content.at("holds").get<std::size_t>()};
@@ -85,7 +86,10 @@
 EstablishedConnection ConnectionTransfer::parse() const {
     try {
         EstablishedConnection connection = connectionFrom(content);
-        if (!isConsistent(connection)) throw HandoverError("inconsistent connection transfer");
+        if (!isConsistent(connection))
+            throw HandoverError(
+                "inconsistent connection transfer: its opening line is invalid, or it has more bytes to "
+                "send than it has buffered");
         return connection;
     } catch (const Json::exception& error) {
         throw HandoverError(std::string("malformed connection transfer: ") + error.what());
--- a/src/hot_restart/handover_messages.hpp
+++ b/src/hot_restart/handover_messages.hpp
@@ -14,10 +14,10 @@
 
 namespace ivyreel {
 
-// The first message: the successor asks for the predecessor's state and listening sockets.
+// The first message: the successor requests the predecessor's state and listening sockets.
 struct HandoverRequest {
-    std::string listen;        // the address at which it will serve clients
-    std::string adminAddress;  // of its admin server; empty if it has none
+    std::string listen;        // the address at which the successor will serve clients
+    std::string adminAddress;  // of the successor's admin server; empty if it has none
 
     // None if the text is malformed or of another protocol version.
     static std::optional<HandoverRequest> parse(const std::string& text);
@@ -26,7 +26,7 @@
 // The successor serves clients from now on.
 struct ServingNotice {};
 
-// How many descriptors the predecessor still has open.
+// The number of descriptors that the predecessor has open.
 struct DescriptorCount {
     std::size_t count = 0;
 };
@@ -37,26 +37,26 @@
     bool banned = false;
 };
 
-// The configuration file is to be read again.
+// The receiver is to reload the configuration file.
 struct ReloadNotice {};
 
-// An established connection that the successor takes over. The sockets of its client and of its endpoint come
-// with the message, whether or not the content can be used.
+// An established connection that the successor takes over. The sockets of its client and its endpoint arrive
+// with the message, even if the content is invalid.
 struct ConnectionTransfer {
     nlohmann::json content;
 
-    // The connection, without its sockets. Throws HandoverError if the content cannot be used.
+    // The connection, without its sockets. Throws HandoverError if the content is malformed or inconsistent.
     EstablishedConnection parse() const;
 };
 
-// A received message; std::monostate if this version does not know it.
+// A received message; std::monostate for a message type that this version does not know.
 using HandoverMessage =
     std::variant<std::monostate, ServingNotice, DescriptorCount, BanNotice, ConnectionTransfer, ReloadNotice>;
 
 // Throws HandoverError if the text is not JSON, or a field is missing or of another type.
 HandoverMessage parseMessage(const std::string& text);
 
-// The line of a message, with its line end.
+// The JSON text of a message, with a line feed at its end.
 std::string encode(const HandoverRequest& request);
 std::string encode(const ServingNotice& notice);
 std::string encode(const DescriptorCount& count);
--- a/src/hot_restart/handover_state.cpp
+++ b/src/hot_restart/handover_state.cpp
@@ -17,7 +17,8 @@
     }
 };
 
-// Ids use all 64 bits: the library's own conversion of enumerations writes large ones as negative numbers.
+// Endpoint ids use all 64 bits: the JSON library's own conversion of enumerations writes large ids as
+// negative numbers.
 template <>
 struct adl_serializer<ivyreel::EndpointId> {
     static void to_json(json& out, ivyreel::EndpointId id) { out = static_cast<std::uint64_t>(id); }
@@ -50,8 +51,8 @@
 template <class Actual, class Record>
 concept PossiblyConst = std::same_as<std::remove_const_t<Actual>, Record>;
 
-// One function per record pairs each key with its field, for reading as for writing. The keys are the
-// handover format, which other versions read: a key stays when its field is renamed.
+// One function per record pairs each key with its field, for both reading and writing. The keys are part of
+// the handover format, which other versions read: a key stays the same when its field is renamed.
 
 template <PossiblyConst<LearnedEndpointState> Record, class Visitor>
 void visitFields(Record& endpoint, const Visitor& visit) {
@@ -116,7 +117,8 @@
 
 }  // namespace
 
-// Not in the unnamed namespace: the JSON library finds these by argument-dependent lookup.
+// These functions are outside the unnamed namespace because the JSON library finds them by argument-dependent
+// lookup.
 
 static void to_json(Json& out, const LearnedEndpointState& endpoint) {
     out = write(endpoint);
@@ -153,7 +155,8 @@
         const Json document = Json::parse(text);
         const int version = document.at(kVersionKey).get<int>();
         if (version != kHandoverStateVersion)
-            throw HandoverError("handover state of version " + std::to_string(version));
+            throw HandoverError("handover state has version " + std::to_string(version) +
+                                "; this node reads version " + std::to_string(kHandoverStateVersion));
         HandoverState state;
         read(document, state);
         return state;
--- a/src/hot_restart/handover_state.hpp
+++ b/src/hot_restart/handover_state.hpp
@@ -12,12 +12,12 @@
 
 namespace ivyreel {
 
-// A successor reads only this version; a predecessor of another one is replaced without its state.
+// A successor reads only this version. It replaces a predecessor of another version without its state.
 constexpr int kHandoverStateVersion = 3;
 
 struct HandoverState {
     std::string adminAddress;  // of the predecessor's admin server; empty if it has none
-    MembershipUpdate list;     // the endpoint list in full
+    MembershipUpdate list;     // the complete endpoint list
     ExportedState learned;
     std::vector<std::uint64_t> ids;  // of open and recent requests
 
--- a/src/hot_restart/predecessor_state.cpp
+++ b/src/hot_restart/predecessor_state.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t kMaxStateBytes = 64UL * 1024 * 1024;
 constexpr std::size_t kReadBytes = 65536;
 
-// Waits until a descriptor is readable. False if it is not before the deadline.
+// Waits until a descriptor is readable. Returns false at the deadline.
 bool awaitReadable(int descriptor, SteadyTime deadline) {
     const auto remaining =
         std::chrono::ceil<std::chrono::milliseconds>(deadline - std::chrono::steady_clock::now());
@@ -32,7 +32,7 @@
     return remaining.count() > 0 && ::poll(&poll, 1, static_cast<int>(remaining.count())) == 1;
 }
 
-// A connection to the node at that address; empty if no node runs there, which is the usual start.
+// Connects to the node at that address. Empty if no node runs there, which is the case in a normal start.
 UniqueDescriptor connectTo(const HandoverAddress& handoverAddress) {
     const UnixAddress address{handoverAddress.directory, handoverAddress.fileName()};
     UniqueDescriptor link{newUnixSocket()};
@@ -60,14 +60,16 @@
     const HandoverRequest request{handoverAddress.listen, handoverAddress.adminAddress};
     if (!sendAll(state.link_.get(), encode(request))) return std::nullopt;
     if (!state.receiveState(deadline)) {
-        spdlog::warn("hot restart: the running node did not hand over its state");
+        spdlog::warn(
+            "hot restart: the running node did not hand over its complete state in time; this node "
+            "starts without it");
         return std::nullopt;
     }
     return state;
 }
 
-// Receives the line of state and the listening sockets. False if it is incomplete at the deadline or too
-// long.
+// Receives the line of state and the listening sockets. Returns false if the line is incomplete at the
+// deadline or at the end of the link, or is too long.
 bool PredecessorState::receiveState(SteadyTime deadline) {
     while (!inheritedState_.ends_with('\n')) {
         std::array<char, kReadBytes> chunk{};
--- a/src/hot_restart/predecessor_state.hpp
+++ b/src/hot_restart/predecessor_state.hpp
@@ -1,4 +1,5 @@
-// The first step of a hot restart, at the successor: it asks the running node for its state and its sockets.
+// The first step of a hot restart, at the successor: it requests the state and the listening sockets of the
+// running node.
 #pragma once
 
 #include <chrono>
@@ -13,18 +14,18 @@
 
 namespace ivyreel {
 
-// What the predecessor has sent: its state and its listening sockets, and the open link to it.
+// The state and the listening sockets that the predecessor has sent, and the open link to it.
 class PredecessorState {
   public:
-    // Asks the node at that address, and blocks for its answer for a second at most: to be called before the
-    // scheduler runs. None if no node runs there or it does not answer.
+    // Sends the request to the node at that address and blocks until its answer is complete, for at most a
+    // second: the caller must not run the scheduler yet. None if no node runs there or it does not answer.
     static std::optional<PredecessorState> request(const HandoverAddress& handoverAddress);
 
     // Both transfer the ownership of a descriptor to the caller; -1 if there is none.
     int takeLink() { return link_.release(); }
     int takeListener(std::size_t index);
 
-    // One line, to be read by HandoverState::parse.
+    // The state as one line, for HandoverState::parse.
     const std::string& handoverState() const { return inheritedState_; }
 
   private:
--- a/src/io/buffer.hpp
+++ b/src/io/buffer.hpp
@@ -1,5 +1,5 @@
-// A byte queue with a limit: bytes are added at the end and removed at the front. It is compacted in place
-// before it grows.
+// A byte queue with a size limit: bytes are added at the end and removed at the front. The buffer compacts
+// its bytes in place before it grows.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace ivyreel {
 
-// Reading never makes it larger than its limit.
+// freeSpace() never offers more than the limit allows; append() may exceed the limit.
 class Buffer {
   public:
     explicit Buffer(std::size_t limit = kDefaultLimit) : limit_(limit) {}
@@ -41,7 +41,7 @@
     // Truncates to the first `count` bytes.
     void keep(std::size_t count) { end_ = begin_ + std::min(count, size()); }
 
-    // Adds a text of the program itself, which may exceed the limit by its own length.
+    // Adds text that the program itself generates; the size may exceed the limit by the length of the text.
     void append(std::string_view text) {
         if (text.empty()) return;
         compact();
--- a/src/io/clock.hpp
+++ b/src/io/clock.hpp
@@ -1,5 +1,5 @@
-// The scheduler's source of time, which also waits for events with a timeout. Tests replace it by a virtual
-// one.
+// The scheduler's source of time, which also waits for events with a timeout. Tests replace the system clock
+// with a virtual one.
 #pragma once
 
 #include <sys/epoll.h>
@@ -11,9 +11,9 @@
 namespace ivyreel {
 
 using Micros = std::chrono::microseconds;
-using Time = std::chrono::microseconds;  // Unix time, monotonic
+using Time = std::chrono::microseconds;  // Unix time in microseconds, monotonic
 
-// What the scheduler needs of a clock.
+// The interface that the scheduler needs.
 class Clock {
   public:
     Clock() = default;
@@ -25,12 +25,12 @@
 
     virtual Time now() const = 0;
 
-    // Waits for events of an epoll descriptor. Returns how many it has stored in `events`: 0 after the
-    // timeout, or when a signal handler ran. Throws std::system_error.
+    // Waits for events of an epoll descriptor. Returns the number of events stored in `events`: 0 after the
+    // timeout, or after a signal handler has interrupted the wait. Throws std::system_error.
     virtual std::size_t wait(int epoll, std::span<epoll_event> events, Micros timeout) = 0;
 };
 
-// Monotonic time that starts at the Unix time of the construction.
+// A monotonic clock that starts at the Unix time of its construction.
 class SystemClock final : public Clock {
   public:
     SystemClock();
--- a/src/io/scheduler.cpp
+++ b/src/io/scheduler.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// A spawned coroutine. At its end it passes its frame to the scheduler, which destroys it once it is
-// suspended.
+// The coroutine that spawn() wraps around a task. At its end it passes its frame to the scheduler, which
+// destroys the frame once the coroutine is suspended.
 struct Scheduler::Root {
     struct promise_type {
         Scheduler& scheduler;
@@ -54,7 +54,8 @@
     ::close(epoll_);
 }
 
-// Destructors in a frame may spawn and post again: none of that is to run.
+// The destructors of objects in a frame may call spawn() and post(): the loop destroys coroutines spawned
+// this way too, and clear() discards the posted handles.
 void Scheduler::dropTasks() {
     while (!roots_.empty()) {
         void* const frame = *roots_.begin();
@@ -87,7 +88,8 @@
     ++descriptors_;
 }
 
-// Needed where another process keeps the descriptor open: epoll would go on reporting it.
+// Closing the descriptor does not end the watch if another process has it open too: epoll would continue to
+// report its events.
 void Scheduler::unwatch(int descriptor) {
     ::epoll_ctl(epoll_, EPOLL_CTL_DEL, descriptor, nullptr);
     --descriptors_;
@@ -105,8 +107,8 @@
     }
 }
 
-// One round: what becomes ready meanwhile is resumed after the next events, so that no coroutine starves
-// others.
+// Resumes the coroutines that are ready now. Those that become ready meanwhile are resumed after the next
+// wait for events, so that no coroutine starves others.
 void Scheduler::runReady() {
     const auto round = std::exchange(ready_, {});
     for (const std::coroutine_handle<> handle : round) {
@@ -150,7 +152,7 @@
 }
 
 void Signal::Wait::await_suspend(std::coroutine_handle<> waiting) {
-    if (signal_.raised_) return signal_.scheduler_.post(waiting);  // behind those that are ready already
+    if (signal_.raised_) return signal_.scheduler_.post(waiting);  // after those that are already ready
     signal_.waiting_ = waiting;
     if (deadline_ == kNever) return;
     signal_.timer_ = signal_.scheduler_.timers_.emplace(deadline_, &signal_);
--- a/src/io/scheduler.hpp
+++ b/src/io/scheduler.hpp
@@ -1,8 +1,8 @@
 // A single-threaded scheduler of coroutines, with epoll and timers.
 //
-// A coroutine waits on a Signal: for a socket that is ready, for another coroutine, or for a point in time.
-// Events only raise signals; the coroutines are resumed afterwards, one after another, so none is resumed
-// twice or destroyed while events are dispatched.
+// A coroutine waits on a Signal for a socket to become ready, for another coroutine, or for a point in time.
+// The dispatch of events only raises signals. The coroutines are resumed afterwards, one after another, so no
+// coroutine is resumed twice or destroyed while events are dispatched.
 #pragma once
 
 #include <sys/epoll.h>
@@ -21,7 +21,7 @@
 
 namespace ivyreel {
 
-// As a deadline: there is none.
+// A deadline that is never reached.
 constexpr Time kNever = Time::max();
 
 class Signal;
@@ -29,7 +29,7 @@
 // Owns the spawned coroutines and resumes those that are ready.
 class Scheduler {
   public:
-    // With the system's clock. Both constructors throw std::system_error.
+    // Uses the system clock. Both constructors throw std::system_error.
     Scheduler();
     explicit Scheduler(std::unique_ptr<Clock> clock);
     ~Scheduler();
@@ -40,28 +40,28 @@
 
     Time now() const { return clock_->now(); }
 
-    // Starts a coroutine that nobody awaits. Its frame is destroyed when it ends, by dropTasks(), or with the
-    // scheduler. An exception that leaves it is logged.
+    // Starts a coroutine that no other coroutine awaits. Its frame is destroyed when the coroutine ends, by
+    // dropTasks(), or by the scheduler's destructor. An exception that it does not catch is logged.
     void spawn(Task<void> task);
     // Resumes a coroutine in the next round.
     void post(std::coroutine_handle<> ready) { ready_.push_back(ready); }
 
-    // Runs until stop(). `tick` is called in every round and returns when it is to be called again at the
-    // latest.
+    // Runs until stop(). Calls `tick` in every round; its result is the time by which the next call is due.
     void run(const std::function<Time()>& tick = [] { return kNever; });
     void stop() { stopped_ = true; }
-    // Destroys the frames of all spawned coroutines: for the owner of objects that they refer to.
+    // Destroys the frames of all spawned coroutines. The owner of objects that the coroutines refer to calls
+    // this before it destroys those objects.
     void dropTasks();
 
-    // Raises the signal for events of the descriptor, edge-triggered, until it is closed. Throws
+    // Raises the signal for events of the descriptor, edge-triggered, until the descriptor is closed. Throws
     // std::system_error.
     void watch(int descriptor, Signal& signal);
-    // Ends watching a descriptor that stays open, here or in another process.
+    // Stops watching a descriptor that stays open in this process or in another one.
     void unwatch(int descriptor);
-    // Counts off a watched descriptor that was closed.
+    // Decrements the count of watched descriptors after one was closed, which ends its watch.
     void forgetDescriptor() { --descriptors_; }
 
-    // How many descriptors are watched, and how many spawned coroutines have not ended.
+    // The number of watched descriptors, and the number of spawned coroutines that have not ended.
     std::size_t descriptors() const { return descriptors_; }
     std::size_t tasks() const { return roots_.size(); }
 
@@ -85,10 +85,11 @@
     Timers timers_;
     std::vector<std::coroutine_handle<>> ready_;
     std::unordered_set<void*> roots_;  // frames of the spawned coroutines
-    std::vector<void*> ended_;         // those of them that are to be destroyed
+    std::vector<void*> ended_;         // frames of ended coroutines, to be destroyed
 };
 
-// An event that one coroutine waits for. Raised while nobody waits, it stays raised for the next wait.
+// An event that at most one coroutine waits for. A signal that is raised while no coroutine waits stays
+// raised until the next wait.
 class Signal {
   public:
     explicit Signal(Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -114,7 +115,8 @@
         Time deadline_;
     };
 
-    // Resumes once raised or at the deadline, but never immediately: all coroutines get their turn.
+    // Resumes the caller after the signal is raised or at the deadline. The caller is suspended even if the
+    // signal is already raised, so that the other ready coroutines run first.
     Wait wait(Time deadline = kNever) { return {*this, deadline}; }
 
     Scheduler& scheduler() const { return scheduler_; }
--- a/src/io/socket.cpp
+++ b/src/io/socket.cpp
@@ -105,7 +105,7 @@
         if (errno == EAGAIN || errno == EWOULDBLOCK) return Accepting::None;
         if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
             return Accepting::Exhausted;
-        // Any other error concerns only the first waiting connection, which has failed already: try the next.
+        // Any other error concerns only the first pending connection, which has already failed: try the next.
     }
 }
 
--- a/src/io/socket.hpp
+++ b/src/io/socket.hpp
@@ -36,7 +36,7 @@
 class Socket {
   public:
     Socket() = default;
-    // Owns the descriptor from now on, even if it throws std::system_error.
+    // Takes the ownership of the descriptor, even if the constructor throws std::system_error.
     Socket(Signal& signal, int descriptor);
     Socket(Socket&& other) noexcept;
     Socket& operator=(Socket&& other) noexcept;
@@ -44,14 +44,14 @@
     Socket& operator=(const Socket&) = delete;
     ~Socket() { close(); }
 
-    // A listening socket: the inherited one, if there is one (not -1), or a new one. Throws
-    // std::system_error.
+    // Returns a listening socket: the inherited descriptor if it is not -1, otherwise a new socket bound to
+    // the address. Throws std::system_error.
     static Socket listenOn(Signal& signal, const Address& address, int inherited = -1);
-    // Begins to connect. Throws std::system_error.
+    // Starts to connect; connecting() reports the progress. Throws std::system_error.
     static Socket connectTo(Signal& signal, const Address& address);
 
-    // Stores the descriptor of the next waiting connection. Exhausted: the system is out of descriptors or
-    // memory.
+    // Accepts the next pending connection and stores its descriptor. Exhausted: the process or the system has
+    // run out of descriptors or memory.
     enum class Accepting { Taken, None, Exhausted };
     Accepting accept(int& descriptor) const;
 
@@ -60,14 +60,14 @@
     // The address that the socket is bound to. Throws std::system_error.
     Address local() const;
 
-    // How far a connection attempt is.
+    // The progress of a connection attempt.
     enum class Connecting { Pending, Done, Failed };
     Connecting connecting() const;
 
-    // Transfers the descriptor, no longer watched, to the caller.
+    // Stops watching the descriptor and transfers its ownership to the caller.
     int release();
 
-    // Shuts down the sending side: the peer reads an end of file.
+    // Shuts down the sending side; the peer then reads an end of file.
     void finishSending() const;
     // Closes with a TCP reset.
     void reset();
@@ -84,12 +84,13 @@
     Connection() = default;
     explicit Connection(Socket owned) : socket(std::move(owned)) {}
 
-    // Reads into the buffer until nothing more is available or the buffer is full. True if bytes were read.
+    // Reads into the buffer until no more input is available, the buffer is full, or the maximum number of
+    // reads per call is reached. Returns true if bytes were read.
     bool fill();
-    // Sends the first `count` bytes of another connection's buffer; removes what was sent from the buffer and
-    // from `count`. True if bytes were sent.
+    // Sends the first `count` bytes of another connection's buffer. Removes the sent bytes from the buffer
+    // and subtracts them from `count`. Returns true if bytes were sent.
     bool pass(Buffer& from, std::size_t& count);
-    // Sends the text from position `sent` on, and advances `sent`.
+    // Sends the text from position `sent` on, as far as the socket accepts it, and advances `sent`.
     void send(std::string_view text, std::size_t& sent);
 
     // Whether no further bytes will arrive.
--- a/src/io/task.hpp
+++ b/src/io/task.hpp
@@ -1,5 +1,5 @@
-// Task: a lazily started coroutine that one other coroutine awaits. It owns its frame and destroys it in the
-// destructor; an exception propagates through the co_await.
+// Task: a lazily started coroutine that one other coroutine awaits. The Task owns the coroutine frame and
+// destroys it in its destructor; an exception propagates through the co_await.
 #pragma once
 
 #include <coroutine>
@@ -14,7 +14,7 @@
 
 namespace detail {
 
-// What the promises of all result types have in common: at its end, a task resumes the one that awaits it.
+// The base of the promises of all result types. At its end, a task resumes the coroutine that awaits it.
 struct PromiseBase {
     std::coroutine_handle<> continuation = std::noop_coroutine();
     std::exception_ptr error;
@@ -55,7 +55,7 @@
 
 }  // namespace detail
 
-// `co_await task` runs the coroutine and gives its result.
+// `co_await task` runs the coroutine and returns its result.
 template <class T>
 class [[nodiscard]] Task {
   public:
--- a/src/io/unix_socket.cpp
+++ b/src/io/unix_socket.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kMaxDescriptorsPerRead = 16;
 
-// Appends the descriptors of a received message to the list.
+// Appends the descriptors that a received message carries to the list.
 void appendDescriptors(msghdr& message, std::vector<int>& descriptors) {
     for (cmsghdr* part = CMSG_FIRSTHDR(&message); part != nullptr; part = CMSG_NXTHDR(&message, part)) {
         if (part->cmsg_level != SOL_SOCKET || part->cmsg_type != SCM_RIGHTS) continue;
--- a/src/io/unix_socket.hpp
+++ b/src/io/unix_socket.hpp
@@ -19,17 +19,18 @@
 // The maximum number of descriptors that are sent with one message.
 constexpr std::size_t kMaxDescriptorsPerMessage = 2;
 
-// The address of a socket file. A path that is too long for an address is reached through a descriptor of its
-// directory, so the address is valid only as long as this object lives.
+// The address of a socket file. If the path is too long for a socket address, the address refers to the file
+// through a descriptor of its directory, which this object owns: the address is valid only during its
+// lifetime.
 class UnixAddress {
   public:
     UnixAddress(const std::string& directory, const std::string& file);
 
-    // Whether the path fits into an address; if not, the other functions must not be used.
+    // Whether the path fits into a socket address. If it does not, the other functions must not be used.
     bool fits() const { return fits_; }
     const sockaddr* address() const { return reinterpret_cast<const sockaddr*>(&raw_); }
     socklen_t size() const { return sizeof raw_; }
-    // The path of the socket file as it is in the address.
+    // The path of the socket file as the address has it.
     const char* path() const { return raw_.sun_path; }
 
   private:
@@ -38,17 +39,18 @@
     std::optional<UniqueDescriptor> directory_;
 };
 
-// A new non-blocking stream socket; -1 and errno on failure.
+// Creates a non-blocking stream socket. Returns -1 and sets errno on failure.
 int newUnixSocket();
 
-// Whether the process at the other end runs as the same user.
+// Whether the effective user of the peer process is that of this process.
 bool isPeerSameUser(int socket);
 
-// Reads into a buffer, and appends the descriptors that came with the bytes to the list. Returns what recvmsg
-// returns.
+// Reads into a buffer, and appends the descriptors that arrive with the bytes to the list; the caller owns
+// them. Returns the result of recvmsg.
 ssize_t receiveWithDescriptors(int socket, std::span<char> buffer, std::vector<int>& descriptors);
 
-// Sends the beginning of a text with descriptors, which stay open here. Returns what sendmsg returns.
+// Sends as much of the text as the socket accepts, with the descriptors, which stay open in this process.
+// Returns the result of sendmsg.
 ssize_t sendWithDescriptors(int socket, std::string_view text, const std::vector<int>& descriptors);
 
 // Closes all descriptors of the list.
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxHeaders = 100;
 constexpr std::size_t kMaxChunkBytes = 64UL * 1024 * 1024;
-constexpr std::size_t kMaxRequestBodyBytes = 4096;  // no request to the node needs a body
+constexpr std::size_t kMaxRequestBodyBytes = 4096;  // no request that the node serves needs a body
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
 
@@ -32,7 +32,8 @@
 
 std::size_t HttpMessageParser::numberOrThrow(std::string_view text, int base) const {
     const auto value = parseNumber<std::size_t>(text, base);
-    if (!value || *value > maxPartBytes_) throw HttpError("bad length");
+    if (!value || *value > maxPartBytes_)
+        throw HttpError("length or status code is not a number from 0 to " + std::to_string(maxPartBytes_));
     return *value;
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-// Returns false when more input is needed or the message is complete.
+// Parses the next part of the message. Returns false if more input is needed or the message is complete.
 bool HttpMessageParser::step(Buffer& input, std::string& body) {
     switch (state_) {
         case State::Complete:
@@ -61,7 +62,8 @@
 bool HttpMessageParser::readLine(Buffer& input) {
     const auto line = firstLine(input.view());
     if (!line) {
-        if (exceedsMaxLineLength(input.view())) throw HttpError("overlong line");
+        if (exceedsMaxLineLength(input.view()))
+            throw HttpError("line is longer than " + std::to_string(kMaxLineBytes) + " bytes");
         return false;
     }
     parseLine(line->text);
@@ -92,7 +94,7 @@
         case State::ChunkSize:
             return parseChunkSize(line);
         case State::ChunkEnd:
-            if (!line.empty()) throw HttpError("chunk longer than its length");
+            if (!line.empty()) throw HttpError("chunk data is longer than the stated chunk size");
             state_ = State::ChunkSize;
             return;
         case State::Trailers:
@@ -109,20 +111,22 @@
     return undelimitedBody_ == UndelimitedBody::UntilClose ? State::BodyUntilClose : State::Complete;
 }
 
-// A length in hexadecimal digits, and extensions that are ignored.
+// Parses a chunk size in hexadecimal digits and ignores the chunk extensions after it.
 void HttpMessageParser::parseChunkSize(std::string_view line) {
     remainingBytes_ = numberOrThrow(trimmed(line.substr(0, line.find(';'))), kHexadecimal);
     state_ = remainingBytes_ > 0 ? State::ChunkData : State::Trailers;
 }
 
 void HttpMessageParser::parseHeader(std::string_view line) {
-    if (++headerCount_ > kMaxHeaders) throw HttpError("too many headers");
+    if (++headerCount_ > kMaxHeaders)
+        throw HttpError("more than " + std::to_string(kMaxHeaders) + " header lines");
     const std::size_t colon = line.find(':');
-    if (colon == std::string_view::npos) throw HttpError("bad header");
+    if (colon == std::string_view::npos) throw HttpError("header line has no colon");
     const std::string_view name = line.substr(0, colon);
     const std::string_view value = trimmed(line.substr(colon + 1));
     if (equalsIgnoringCase(name, "Transfer-Encoding")) {
-        if (!equalsIgnoringCase(value, "chunked")) throw HttpError("unknown transfer coding");
+        if (!equalsIgnoringCase(value, "chunked"))
+            throw HttpError("unsupported transfer coding: only chunked is supported");
         chunked_ = true;
     } else if (equalsIgnoringCase(name, "Content-Length")) {
         remainingBytes_ = numberOrThrow(value, kDecimal);
@@ -134,7 +138,7 @@
 
 void HttpResponseParser::parseStartLine(std::string_view line) {
     const auto [protocol, rest] = firstWord(line);
-    if (!protocol.starts_with("HTTP/1.")) throw HttpError("not an HTTP response");
+    if (!protocol.starts_with("HTTP/1.")) throw HttpError("start line is not a status line of HTTP/1.x");
     status_ = static_cast<int>(numberOrThrow(firstWord(rest).first, kDecimal));
 }
 
@@ -144,7 +148,7 @@
     const auto [method, rest] = firstWord(line);
     const auto [target, protocol] = firstWord(rest);
     if (method.empty() || !target.starts_with('/') || !protocol.starts_with("HTTP/1."))
-        throw HttpError("not an HTTP request");
+        throw HttpError("start line is not a request line of HTTP/1.x");
     method_ = method;
     target_ = target;
 }
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -10,13 +10,13 @@
 
 namespace ivyreel {
 
-// A message that breaks the protocol, or exceeds one of the limits of its parser.
+// A message that violates the protocol or exceeds a limit of its parser.
 class HttpError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
-// What requests and responses have in common: a start line, headers, and a body whose chunks are joined.
+// The common base of both parsers: a start line, headers, and a body, whose chunks are concatenated.
 class HttpMessageParser {
   public:
     virtual ~HttpMessageParser() = default;
@@ -25,23 +25,25 @@
     HttpMessageParser(HttpMessageParser&&) = delete;
     HttpMessageParser& operator=(HttpMessageParser&&) = delete;
 
-    // Consumes what can be parsed of `input` and appends the body's part of it to `body`. Throws HttpError.
+    // Consumes as much of `input` as can be parsed and appends the bytes of the body to `body`. Throws
+    // HttpError.
     void take(Buffer& input, std::string& body);
 
-    // Whether start line and headers were read.
+    // Whether the start line and all headers have been parsed.
     bool started() const { return state_ != State::StartLine && state_ != State::Headers; }
-    // Whether the message was read to its end. A body that ends with the connection is never complete.
+    // Whether the whole message has been parsed. A message whose body ends with the connection is never
+    // complete.
     bool complete() const { return state_ == State::Complete; }
 
   protected:
-    // Whether a message without a length has a body that ends with the connection, or none.
+    // Whether a message that states no body length has a body that ends with the connection, or no body.
     enum class UndelimitedBody { UntilClose, None };
 
     HttpMessageParser(UndelimitedBody undelimitedBody, std::size_t maxPartBytes)
         : undelimitedBody_(undelimitedBody), maxPartBytes_(maxPartBytes) {}
-    // Throws HttpError.
+    // Parses the first line of the message. Throws HttpError.
     virtual void parseStartLine(std::string_view line) = 0;
-    // A length or a status code. Throws HttpError.
+    // Parses a length or a status code, at most maxPartBytes. Throws HttpError.
     std::size_t numberOrThrow(std::string_view text, int base) const;
 
   private:
@@ -66,15 +68,15 @@
     State stateAfterHeaders() const;
 
     UndelimitedBody undelimitedBody_;
-    std::size_t maxPartBytes_;  // of a chunk, or of a body with a length
+    std::size_t maxPartBytes_;  // limit of a chunk, and of a body with Content-Length
     State state_ = State::StartLine;
     bool chunked_ = false;
     bool hasContentLength_ = false;
-    std::size_t remainingBytes_ = 0;  // of the chunk or the body
+    std::size_t remainingBytes_ = 0;  // of the current chunk, or of the body
     std::size_t headerCount_ = 0;
 };
 
-// A response.
+// Parses a response. A body without a stated length ends with the connection.
 class HttpResponseParser final : public HttpMessageParser {
   public:
     HttpResponseParser();
@@ -85,7 +87,7 @@
     int status_ = 0;
 };
 
-// A request.
+// Parses a request. A request without a stated length has no body.
 class HttpRequestParser final : public HttpMessageParser {
   public:
     HttpRequestParser();
--- a/src/protocol/json_object_scanner.hpp
+++ b/src/protocol/json_object_scanner.hpp
@@ -10,9 +10,9 @@
 // Scans a stream of JSON objects for their ends, without parsing them. An object may span several lines.
 class JsonObjectScanner {
   public:
-    // The length of the first object in `text`; none if it is not complete yet. Until it is, each call has to
-    // pass all the text of the call before, with what has arrived since at its end. Afterwards the scanner
-    // is ready for the next object.
+    // The length in bytes of the text up to the end of the first object; none if the object is not complete
+    // yet. Until it is complete, each call must pass the text of the previous call with the newly received
+    // text appended. Afterwards the scanner is ready for the next object.
     std::optional<std::size_t> end(std::string_view text);
 
   private:
--- a/src/protocol/keywords.hpp
+++ b/src/protocol/keywords.hpp
@@ -1,4 +1,4 @@
-// The words of the line protocol, by the terms that the code uses for them.
+// The keywords of the line protocol, named by the terms that the code uses.
 #pragma once
 
 #include <string_view>
@@ -8,25 +8,25 @@
 // The first word of a line.
 namespace keyword {
 
-inline constexpr std::string_view kOpen = "OPEN";  // a request's opening line
+inline constexpr std::string_view kOpen = "OPEN";  // the first word of an opening line
 inline constexpr std::string_view kUp = "UP";      // the endpoint has accepted the connection
-inline constexpr std::string_view kBusy = "BUSY";  // rejected, with an optional retry advice
-inline constexpr std::string_view kMove = "MOVE";  // the client is to connect again
+inline constexpr std::string_view kBusy = "BUSY";  // the request is rejected, with an optional retry delay
+inline constexpr std::string_view kMove = "MOVE";  // the client is to reconnect
 inline constexpr std::string_view kBye = "BYE";    // the connection has completed
 inline constexpr std::string_view kLoad = "LOAD";  // the load of one connection
 inline constexpr std::string_view kPing = "PING";  // a health check
-inline constexpr std::string_view kPong = "PONG";  // its answer
+inline constexpr std::string_view kPong = "PONG";  // the answer to a health check
 
 }  // namespace keyword
 
-// Lines that the node sends as they stand.
+// Complete lines that the node sends unchanged.
 namespace fixed_line {
 
 inline constexpr std::string_view kError = "ERR\r\n";        // the request has failed
-inline constexpr std::string_view kMigrate = "MOVE\r\n";     // the client is to connect again
+inline constexpr std::string_view kMigrate = "MOVE\r\n";     // the client is to reconnect
 inline constexpr std::string_view kPing = "PING\r\n";        // a health check
-inline constexpr std::string_view kLoadQuery = "STATS\r\n";  // a health check that asks for a load report
-inline constexpr std::string_view kPong = "PONG\r\n";        // its answer
+inline constexpr std::string_view kLoadQuery = "STATS\r\n";  // a health check that requests a load report
+inline constexpr std::string_view kPong = "PONG\r\n";        // the answer to a health check
 
 }  // namespace fixed_line
 
@@ -40,8 +40,8 @@
 inline constexpr std::string_view kGroup = "g";
 inline constexpr std::string_view kLoadHint = "h";
 inline constexpr std::string_view kTimeout = "d";           // milliseconds
-inline constexpr std::string_view kReconnecting = "again";  // "1": not the client's first connection
-inline constexpr std::string_view kCurrentEndpoint = "at";  // where it was established before the restart
+inline constexpr std::string_view kReconnecting = "again";  // "1": the client has been connected before
+inline constexpr std::string_view kCurrentEndpoint = "at";  // endpoint of a connection to be resumed
 
 }  // namespace opening_attribute
 
--- a/src/protocol/line.cpp
+++ b/src/protocol/line.cpp
@@ -63,7 +63,7 @@
     return opening;
 }
 
-// Reads "name=value,name=value". Returns false if it is malformed or names an attribute twice.
+// Parses "name=value,name=value". Returns false if the list is malformed or has the same attribute twice.
 bool OpeningLine::parseAttributes(Span list) {
     const std::string_view text = text_;
     const std::size_t listEnd = list.begin + list.size;
--- a/src/protocol/line.hpp
+++ b/src/protocol/line.hpp
@@ -12,12 +12,12 @@
 
 namespace ivyreel {
 
-constexpr std::size_t kMaxLineBytes = 4096;  // with the line end
+constexpr std::size_t kMaxLineBytes = 4096;  // including the line end
 
 // A complete line.
 struct Line {
     std::string_view text;  // without the line end
-    std::size_t bytes = 0;  // with it
+    std::size_t bytes = 0;  // including the line end
 };
 
 // The first line of the input; none if it is not complete, or longer than kMaxLineBytes.
@@ -41,14 +41,15 @@
     // The value of an attribute; empty if it is absent.
     std::string_view value(std::string_view attribute) const;
     bool has(std::string_view attribute) const;
-    // The value of an attribute as a finite number; none if it is absent or no number.
+    // The value of an attribute as a finite number; none if the attribute is absent or not a number.
     std::optional<double> number(std::string_view attribute) const;
 
-    // The original line with a line end and, if it has a timeout, that one in whole milliseconds.
+    // The original line with a line end. The value of its timeout attribute, if there is one, is replaced by
+    // `timeout` in whole milliseconds, at least 0.
     std::string withTimeout(std::chrono::microseconds timeout) const;
 
   private:
-    // A part of the text. Unlike a view, it stays valid when the opening is moved.
+    // A part of the text. Unlike a string_view, it stays valid when the OpeningLine is moved.
     struct Span {
         std::size_t begin = 0;
         std::size_t size = 0;
--- a/src/util/number_parsing.hpp
+++ b/src/util/number_parsing.hpp
@@ -1,4 +1,4 @@
-// Parses numbers that take up the whole of a text.
+// Parses text that consists of a single number.
 #pragma once
 
 #include <charconv>
@@ -9,8 +9,8 @@
 
 namespace ivyreel {
 
-// None if the text is not a number of the type, or has more than the number. Integers may be given a base;
-// without one it is 10.
+// None if the text is not a number, is out of the range of the type, or has other characters around the
+// number. `base` is optional for integers; the default is 10.
 template <class T, class... Base>
 std::optional<T> parseNumber(std::string_view text, Base... base) {
     T value{};
@@ -20,7 +20,7 @@
     return parsed ? std::optional(value) : std::nullopt;
 }
 
-// Likewise, and none for infinity and "nan", which from_chars accepts.
+// Like parseNumber, but none for infinity and "nan", which from_chars accepts.
 inline std::optional<double> parseFiniteNumber(std::string_view text) {
     const auto value = parseNumber<double>(text);
     return value && std::isfinite(*value) ? value : std::nullopt;
--- a/src/util/overloaded.hpp
+++ b/src/util/overloaded.hpp
@@ -1,4 +1,4 @@
-// Combines lambdas, one for each alternative of a variant, to a visitor for std::visit.
+// Combines lambdas, one for each alternative of a variant, into a visitor for std::visit.
 #pragma once
 
 namespace ivyreel {
--- a/src/util/random.hpp
+++ b/src/util/random.hpp
@@ -1,11 +1,11 @@
-// Pseudo-random numbers that are the same on every machine: SplitMix64, and its finaliser as a hash.
+// Pseudo-random numbers that are identical on every machine: SplitMix64, and its finaliser as a hash.
 #pragma once
 
 #include <cstdint>
 
 namespace ivyreel {
 
-// A hash of 64 bits: the finaliser of SplitMix64.
+// A 64-bit hash: the finaliser of SplitMix64.
 inline std::uint64_t mix(std::uint64_t x) {
     x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27U)) * 0x94d049bb133111ebULL;
@@ -17,7 +17,7 @@
     return (static_cast<double>(x >> 11U) + 0.5) * 0x1.0p-53;
 }
 
-// A generator with 64 bits of state; the same seed gives the same numbers.
+// A generator with 64 bits of state; equal seeds give equal sequences.
 class SplitMix64 {
   public:
     explicit SplitMix64(std::uint64_t seed) : state_(seed) {}
--- a/tests/blocking_queue.hpp
+++ b/tests/blocking_queue.hpp
@@ -22,7 +22,7 @@
         }
         changed_.notify_all();
     }
-    // Waits for a value; none after kTestTimeoutMs.
+    // Waits for a value and removes it; none after kTestTimeoutMs.
     std::optional<T> pop() {
         std::unique_lock lock(mutex_);
         if (!changed_.wait_for(lock, std::chrono::milliseconds(kTestTimeoutMs),
--- a/tests/handover_messages_test.cpp
+++ b/tests/handover_messages_test.cpp
@@ -1,4 +1,5 @@
-// The handover messages: their exact encoding, on which other versions rely, and what is rejected.
+// The exact encoding of the handover messages, on which other versions rely, and the rejection of invalid
+// messages.
 #include "hot_restart/handover_messages.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/hot_restart_golden_test.cpp
+++ b/tests/hot_restart_golden_test.cpp
@@ -1,5 +1,5 @@
-// The handover format stays readable and identical byte for byte: each golden file is parsed, its fields are
-// checked one by one, and it is encoded again.
+// The handover format stays readable and identical: each golden file is parsed, its fields are checked one by
+// one, and the result is encoded again and compared byte for byte with the file.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -33,7 +33,7 @@
     return keys;
 }
 
-// Expects the state to be rejected without any one of the keys of the object at that JSON pointer.
+// Expects that the state is rejected if any one key of the object at the JSON pointer `path` is missing.
 void expectEachKeyIsRequired(const std::string& path) {
     const Json::json_pointer pointer(path);
     const Json state = Json::parse(readGolden("state.json"));
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -62,11 +62,11 @@
     awaitSuccess(successor, "/-/ready");
     predecessor.awaitLogLine("the successor serves");
     for (int i = 0; i < 20; ++i) {
-        EstablishedPair pair = establishConnection(predecessor, server);  // both have the same address
+        EstablishedPair pair = establishConnection(predecessor, server);  // both nodes have the same address
         expectEcho(pair);
     }
     EXPECT_EQ(predecessor.metric("transactions.chat.answered"), 1)
-        << "its admin server has an address of its own";
+        << "only the connection established before the restart; each node has its own admin server";
     EXPECT_EQ(successor.metric("transactions.chat.answered"), 20);
     expectEcho(before);
     EXPECT_EQ(predecessor.stop(), 0) << predecessor.remainingLog();
@@ -94,7 +94,8 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
     pendingAttempt.connection.send("UP late\r\n");
-    EXPECT_EQ(pendingClient.line(), "UP late") << "established by the predecessor, then transferred too";
+    EXPECT_EQ(pendingClient.line(), "UP late")
+        << "the predecessor establishes the connection, then transfers it";
     predecessor.awaitLogLine("drained");
     predecessor.signal(SIGKILL);
     pairs[0].client.send("line\r\n");
@@ -107,7 +108,8 @@
     EstablishedPair last{std::move(pendingClient), std::move(pendingAttempt.connection)};
     expectEcho(last);
     EXPECT_EQ(successor.metric("current"), 11);
-    EXPECT_EQ(successor.metric("transactions.chat.answered"), -1) << "they were established elsewhere";
+    EXPECT_EQ(successor.metric("transactions.chat.answered"), -1)
+        << "the predecessor established these connections";
     EXPECT_EQ(successor.stop(), 0) << successor.remainingLog();
 }
 
@@ -117,7 +119,7 @@
     NodeProcess predecessor{restartOptions(server, directory)};
     EstablishedPair before = establishConnection(predecessor, server);
     {
-        // A successor that receives the state and exits.
+        // This successor receives the state and exits.
         sockaddr_un address{};
         address.sun_family = AF_UNIX;
         const std::string path = directory.path() + "/ivyreel-n0.sock";
@@ -132,7 +134,7 @@
     for (int i = 0; i < 5; ++i) {
         establishConnection(predecessor, server);
     }
-    NodeProcess successor{restartOptions(server, directory)};  // a working one succeeds
+    NodeProcess successor{restartOptions(server, directory)};  // a later successor takes over
     predecessor.awaitLogLine("the successor serves");
     expectEcho(before);
 }
@@ -185,7 +187,7 @@
     SharedDirectory directory;
     StubServer server;
     std::atomic<bool> noMoreClients = false;  // no further client connects
-    std::atomic<bool> allAnswered = false;    // and the last one has its answer
+    std::atomic<bool> allAnswered = false;    // and the last client has its answer
     std::atomic<int> failed = 0;
     std::atomic<int> answered = 0;
     NodeProcess::Options options = restartOptions(server, directory);
@@ -230,7 +232,7 @@
     EXPECT_EQ(node->stop(), 0) << node->remainingLog();
 }
 
-// A predecessor that speaks the handover protocol and does nothing else.
+// A predecessor that implements only the handover protocol.
 class FakePredecessor {
   public:
     explicit FakePredecessor(const SharedDirectory& directory)
@@ -288,7 +290,8 @@
     int link_ = -1;
 };
 
-// The descriptors of a malformed transfer must not be taken for those of the next one.
+// Guards against assigning the descriptors of a malformed transfer to the next transfer: they stay on the
+// link unless the node takes them before it parses the message.
 TEST(HotRestart, MalformedTransferDoesNotTakeTheDescriptorsOfTheNext) {
     SharedDirectory directory;
     FakePredecessor predecessor{directory};
@@ -322,7 +325,7 @@
     StubServer server;
     {
         const NodeProcess killed{restartOptions(server, directory)};
-        // The file appears a moment after the node serves.
+        // The node creates the socket file shortly after it begins to serve.
         while (!directory.hasSocketFile()) {
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
@@ -331,7 +334,7 @@
     NodeProcess node{restartOptions(server, directory)};
     establishConnection(node, server);
     EXPECT_EQ(node.stop(), 0) << node.remainingLog();
-    EXPECT_FALSE(directory.hasSocketFile()) << "it removes the file when it exits by itself";
+    EXPECT_FALSE(directory.hasSocketFile()) << "the node removes the socket file when it stops";
     NodeProcess::Options missingDirectory = restartOptions(server, directory);
     missingDirectory.directory = directory.path() + "/not/there";
     NodeProcess nodeAlone{missingDirectory};
--- a/tests/log_capture.hpp
+++ b/tests/log_capture.hpp
@@ -1,4 +1,4 @@
-// Captures what is logged during a test.
+// Captures the warnings and errors that are logged during a test.
 #pragma once
 
 #include <spdlog/sinks/ostream_sink.h>
@@ -27,7 +27,7 @@
     LogCapture(LogCapture&&) = delete;
     LogCapture& operator=(LogCapture&&) = delete;
 
-    // The warnings and errors so far.
+    // The warnings and errors that have been logged so far.
     std::vector<std::string> lines() const {
         std::vector<std::string> result;
         std::istringstream text(stream_.str());
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,5 +1,5 @@
-// Blocking loopback sockets for tests: a connection of the line protocol, and a listener with a thread for
-// each connection. All ports are chosen by the kernel.
+// Blocking loopback sockets for tests: a connection of the line protocol, and a listener with one thread per
+// connection. The kernel chooses all ports.
 #pragma once
 
 #include <arpa/inet.h>
@@ -21,7 +21,7 @@
 
 namespace ivyreel::test {
 
-constexpr int kTestTimeoutMs = 20'000;  // the limit of every wait; only a hang reaches it
+constexpr int kTestTimeoutMs = 20'000;  // the timeout of every wait; reached only if the test hangs
 
 inline sockaddr_in loopback(std::uint16_t port) {
     sockaddr_in address{};
@@ -63,9 +63,8 @@
         }
     }
 
-    // The next line without its line end; "(end)" or "(reset)" if the peer has closed or reset the
-    // connection,
-    // "(hang)" if nothing arrives.
+    // The next line without its line end. If there is none, "(end)" after the peer has closed the connection,
+    // "(reset)" after a reset, and "(hang)" after kTestTimeoutMs.
     std::string line() {
         for (;;) {
             if (const std::size_t end = received_.find("\r\n"); end != std::string::npos) {
@@ -83,7 +82,8 @@
         }
     }
 
-    // The input that arrives next; empty if the peer has closed or reset the connection.
+    // The next available input; empty if the peer has closed or reset the connection, "(hang)" after
+    // kTestTimeoutMs.
     std::string readAvailable() {
         if (!received_.empty()) return std::exchange(received_, {});
         pollfd poll{descriptor_, POLLIN, 0};
@@ -93,7 +93,7 @@
         return count <= 0 ? std::string() : std::string(chunk.data(), static_cast<std::size_t>(count));
     }
 
-    // Whether there is input, or the connection has ended.
+    // Whether input is available or the connection has ended.
     bool hasInput() const {
         pollfd poll{descriptor_, POLLIN, 0};
         return ::poll(&poll, 1, 0) == 1;
@@ -124,7 +124,7 @@
         if (::bind(descriptor_, reinterpret_cast<const sockaddr*>(&address), size) != 0 ||
             ::listen(descriptor_, 128) != 0 ||
             ::getsockname(descriptor_, reinterpret_cast<sockaddr*>(&address), &size) != 0)
-            ADD_FAILURE() << "cannot listen";
+            ADD_FAILURE() << "cannot listen on a loopback port";
         port_ = ntohs(address.sin_port);
         thread_ = std::thread([this] { run(); });
     }
@@ -132,7 +132,7 @@
     TestListener& operator=(const TestListener&) = delete;
     TestListener(TestListener&&) = delete;
     TestListener& operator=(TestListener&&) = delete;
-    // The node must have exited before, so that the threads end.
+    // The node must have exited before, because the threads end when their connections do.
     ~TestListener() {
         ::shutdown(descriptor_, SHUT_RDWR);
         thread_.join();
--- a/tests/node_process.hpp
+++ b/tests/node_process.hpp
@@ -1,4 +1,4 @@
-// A node as a process of its own, with its configuration, log and admin server.
+// A node in a separate process, with access to its configuration, log and admin server.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -31,13 +31,13 @@
         int clientTimeoutMs = 20'000;
         int latencyObjectiveMs = 20'000;
         int descriptorLimit = 500;       // limits.sockets of the configuration
-        int processDescriptorLimit = 0;  // RLIMIT_NOFILE of the process; 0: that of the test
+        int processDescriptorLimit = 0;  // RLIMIT_NOFILE of the node; 0: the limit of the test process
         std::vector<std::pair<std::string, std::string>> servers;  // id and address
         std::string discovery = "127.0.0.1:1";
-        std::string discoveryEnvironmentVariable;  // RELAY_DISCOVERY, if not empty
-        bool adminServer = false;                  // whether it has an admin server
+        std::string discoveryEnvironmentVariable;  // value of RELAY_DISCOVERY; empty: not set
+        bool adminServer = false;                  // whether the node has an admin server
         int attempts = 4;
-        std::string directory;  // TMPDIR, where predecessor and successor meet
+        std::string directory;  // TMPDIR, which has the handover socket file; empty: no hot restart
         std::vector<std::string> classes = {"chat"};
         std::string discoveryMode = "ask";
         int drainGraceMs = 500;
@@ -51,7 +51,7 @@
                 std::to_string(++count) + ".json";
         const bool signalsAtStart = !options.signalsAtStart.empty();
         if (signalsAtStart) {
-            ::mkfifo(path_.c_str(), S_IRUSR | S_IWUSR);  // the node blocks reading it
+            ::mkfifo(path_.c_str(), S_IRUSR | S_IWUSR);  // the node blocks until the test writes to it
         } else {
             std::ofstream(path_) << config(options);
         }
@@ -111,7 +111,8 @@
         signal(SIGHUP);
     }
     void signal(int number) const { ::kill(process_, number); }
-    // Sends SIGINT and waits for the exit code. Under the sanitizers leaks are reported then.
+    // Sends SIGINT, waits for the process to exit and returns its exit code, or -1 if a signal ended it. With
+    // the sanitizers, the node reports leaks at its exit.
     int stop() {
         signal(SIGINT);
         int status = 0;
@@ -121,18 +122,18 @@
         ::waitpid(std::exchange(process_, -1), &status, 0);
         return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     }
-    // The rest of the log, after stop().
+    // The log lines that stop() has read.
     const std::string& remainingLog() const { return remainingLog_; }
-    // Reads the log up to the next line that contains this text.
+    // Reads the log up to the next line that contains the text, and returns that line.
     std::string awaitLogLine(std::string_view text) {
         while (std::fgets(logBuffer_.data(), static_cast<int>(logBuffer_.size()), log_) != nullptr) {
             std::string line = logBuffer_.data();
             if (line.find(text) != std::string::npos) return line;
         }
-        ADD_FAILURE() << "the node never logged \"" << text << "\"";
+        ADD_FAILURE() << "the node exited before it logged \"" << text << "\"";
         return {};
     }
-    // A connection to the admin server.
+    // Connects to the admin server and sends the text.
     TestConnection connectToAdminServer(std::string_view text = {}) const {
         TestConnection connection = TestConnection::to(adminPort_);
         connection.send(text);
@@ -155,13 +156,13 @@
         }
         return {std::atoi(first.c_str() + 9), body};
     }
-    // A metric of the admin server; -1 if there is none of this name.
+    // A metric of the admin server; -1 if there is no metric of this name.
     long metric(const std::string& name) const {
         const std::string body = std::string("\n").append(adminRequest("GET", "/-/metrics").second);
         const std::size_t at = body.find("\nnode." + name + ":");
         return at == std::string::npos ? -1 : std::atol(body.c_str() + at + name.size() + 7);
     }
-    // A counter, from the log line that SIGUSR1 causes; -1 if there is none of this name.
+    // A counter in the log line that the node writes at SIGUSR1; -1 if there is no counter of this name.
     long counter(const std::string& name) {
         signal(SIGUSR1);
         const std::string line = awaitLogLine("counters:");
@@ -202,9 +203,10 @@
     }
 
   private:
-    // The configuration is a FIFO then, and a file for later reloads.
+    // Sends signals while the node blocks reading its configuration from the FIFO; a regular file replaces
+    // the FIFO for later reloads.
     void signalDuringStart(const Options& options) {
-        std::signal(SIGPIPE, SIG_IGN);  // if the node exits meanwhile, its log says so
+        std::signal(SIGPIPE, SIG_IGN);  // the write may fail if the node exits; its log has the reason
         std::ofstream fifo(path_);
         for (const int number : options.signalsAtStart) {
             signal(number);
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -1,4 +1,4 @@
-// The node's buffer and parsers, with input that arrives in pieces, is too long or invalid.
+// The buffer and the parsers of the node, with input that arrives in pieces, is too long or is invalid.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -80,7 +80,8 @@
     const std::string over = std::string(4095, 'x') + "\r\n";
     EXPECT_FALSE(firstLine(over));
     EXPECT_TRUE(exceedsMaxLineLength(over));
-    EXPECT_FALSE(exceedsMaxLineLength(std::string(4095, 'x'))) << "its end may still arrive within the limit";
+    EXPECT_FALSE(exceedsMaxLineLength(std::string(4095, 'x')))
+        << "the line end may still arrive within the limit";
 }
 
 TEST(OpeningLine, IsUnchangedExceptForTheTimeout) {
@@ -150,7 +151,7 @@
         EXPECT_TRUE(parser.complete());
         EXPECT_EQ(parser.method(), "POST");
         EXPECT_EQ(parser.target(), "/-/hosts/s-1/disable");
-        EXPECT_EQ(body, "abc") << "what follows is not part of the request";
+        EXPECT_EQ(body, "abc") << "input after the body is not part of the request";
     }
 }
 
@@ -194,7 +195,7 @@
     EXPECT_EQ(update.members[1].entry.started, Time{0});
 }
 
-// Some senders write every key, with null for absent values.
+// Some discovery services write every key, with null for absent values.
 TEST(MembershipUpdate, TreatsNullAsAbsent) {
     const MembershipUpdate update = MembershipUpdate::parse(
         R"({"version":7,"full":null,"servers":[{"id":"s","addr":"127.0.0.1:1","zone":null,"kind":null,"cell":null,
--- a/tests/port_reservation.hpp
+++ b/tests/port_reservation.hpp
@@ -1,5 +1,5 @@
-// Reserves a loopback port for a test: while nothing listens there, connections to it are refused and never
-// reach another socket of this process.
+// Reserves a loopback port for a test: until a socket listens on the port, the kernel refuses connections to
+// it and does not assign it to another socket.
 #pragma once
 
 #include <arpa/inet.h>
@@ -33,7 +33,7 @@
     PortReservation(PortReservation&&) = delete;
     PortReservation& operator=(PortReservation&&) = delete;
 
-    // Socket::listenOn can bind it beside the reservation: both reuse addresses, and the reservation never
+    // Socket::listenOn can bind the same address: both sockets set SO_REUSEADDR, and the reservation never
     // listens.
     Address address() const { return *Address::parse("127.0.0.1:" + std::to_string(port_)); }
 
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,4 +1,4 @@
-// New settings at SIGHUP, on loopback sockets.
+// SIGHUP reloads the configuration of a running node; tested on loopback sockets.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -33,7 +33,7 @@
 std::string replaced(std::string text, const std::string& what, const std::string& replacement) {
     const std::size_t at = text.find(what);
     if (at == std::string::npos) {
-        ADD_FAILURE() << "not in the configuration: " << what;
+        ADD_FAILURE() << "the configuration does not contain: " << what;
         return text;
     }
     return text.replace(at, what.size(), replacement);
@@ -44,8 +44,8 @@
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
     TestConnection early = node.client(openingOf("call"));
-    EXPECT_EQ(early.line(), "ERR") << "not yet known";
-    options.classes = {"call", "chat"};  // in another order too
+    EXPECT_EQ(early.line(), "ERR") << "the class is not configured yet";
+    options.classes = {"call", "chat"};  // the order of the classes changes too
     reload(node, options);
     EstablishedPair call = establishConnection(node, server, openingOf("call"));
     EstablishedPair chat = establishConnection(node, server);
@@ -56,10 +56,10 @@
     TestConnection late = node.client(newOpeningLine());
     EXPECT_EQ(late.line(), "ERR") << "dropped";
     pendingAttempt.connection.send("UP r9\r\n");
-    EXPECT_EQ(pendingClient.line(), "UP r9") << "requests under way continue";
+    EXPECT_EQ(pendingClient.line(), "UP r9") << "requests in flight continue";
     chat.client.send("x\r\n");
     EXPECT_EQ(chat.server.line(), "x") << "established connections continue";
-    EXPECT_EQ(node.metric("transactions.chat.answered"), 2) << "its counters are kept";
+    EXPECT_EQ(node.metric("transactions.chat.answered"), 2) << "the counters of the removed class are kept";
     EXPECT_EQ(node.metric("transactions.call.answered"), 1);
     EXPECT_EQ(node.metric("conf_loaded"), 2);
     EXPECT_EQ(node.metric("conf_invalid"), 0);
@@ -84,7 +84,8 @@
     options.idempotency = "free";
     reload(node, options);
     first.connection.reset();
-    EXPECT_EQ(olderClient.line(), "ERR") << "it may have been executed, and was not idempotent when it came";
+    EXPECT_EQ(olderClient.line(), "ERR")
+        << "the first attempt may have been executed, and the request was not idempotent when it arrived";
     TestConnection newerClient = node.client(newOpeningLine());
     attempt().connection.reset();
     attempt().connection.send("UP r2\r\n");
@@ -152,14 +153,15 @@
     do {
         client = node.client(openingOf("c19"));
         awaitRequestOrAnswer(server, client);
-    } while (server.idle());  // ERR until the last file has been read
+    } while (server.idle());  // the node answers ERR until it has read the last file
     server.next().connection.send("UP r1\r\n");
     EXPECT_EQ(client.line(), "UP r1");
     TestConnection clientOfRemovedClass = node.client(openingOf("c3"));
     EXPECT_EQ(clientOfRemovedClass.line(), "ERR");
 }
 
-// The configuration of another kind of deployment: nodes, zones, discovery mode, prices, goal, groups.
+// The configuration of another kind of deployment, with other nodes, zones, discovery mode, prices, goal and
+// groups.
 std::string otherDeployment(const NodeProcess::Options& options) {
     std::string text = NodeProcess::config(options);
     const std::pair<const char*, const char*> changes[] = {
@@ -177,7 +179,8 @@
     return text;
 }
 
-// Regression: the way back was rejected, because the file lacks keys that only the other deployment has.
+// Regression: the reload of the first configuration was rejected, because that file lacks keys that only the
+// other deployment has.
 TEST(Reload, SwitchesToAnotherDeploymentAndBackUnderLoad) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
@@ -193,15 +196,16 @@
     auto pendingAttempt = server.next();
     reload(node, secondDeployment);
     pendingAttempt.connection.send("UP r2\r\n");
-    EXPECT_EQ(pendingClient.line(), "UP r2") << "in flight at the switch";
+    EXPECT_EQ(pendingClient.line(), "UP r2") << "in flight when the configuration changes";
     EstablishedPair second = establishConnection(node, server);
     TestConnection secondPendingClient = node.client(newOpeningLine());
     auto secondPendingAttempt = server.next();
     node.reload(replaced(secondDeployment, "0.13", "-0.1"));
-    node.awaitLogLine("settings at prices.crossZone: out of range");
+    node.awaitLogLine(
+        "settings at prices.crossZone: out of range: expected a number from 0.0 to 1e+15, got -0.1");
     reload(node, firstDeployment);
     secondPendingAttempt.connection.send("UP r4\r\n");
-    EXPECT_EQ(secondPendingClient.line(), "UP r4") << "in flight at the way back";
+    EXPECT_EQ(secondPendingClient.line(), "UP r4") << "in flight when the first configuration returns";
     EstablishedPair third = establishConnection(node, server);
     for (EstablishedPair* pair : {&first, &second, &third}) {
         pair->client.send("x\r\n");
@@ -215,7 +219,8 @@
     EXPECT_EQ(node.stop(), 0) << node.remainingLog();
 }
 
-// Regression: the node served on its first list for good, since nobody pushes one between sockets.
+// Regression: the node used its first endpoint list permanently after a reload with the mode "push", because
+// no list is pushed over sockets.
 TEST(Reload, WatchesTheListEvenIfTheSettingsSayThatItIsPushed) {
     StubServer server;
     StubDiscovery discovery;
@@ -225,7 +230,8 @@
     watch.begin();
     reload(node, otherDeployment(options));
     watch.connection.reset();
-    EXPECT_NE(discovery.next().request.find("/catalog/members"), std::string::npos) << "watched again";
+    EXPECT_NE(discovery.next().request.find("/catalog/members"), std::string::npos)
+        << "the node opens a new watch";
 }
 
 }  // namespace
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler alone: which coroutines are resumed, how often, and that their frames are destroyed.
+// Unit tests of the scheduler: which coroutines it resumes, how often, and that it destroys their frames.
 #include "io/scheduler.hpp"
 
 #include <gtest/gtest.h>
@@ -110,7 +110,7 @@
     EXPECT_EQ(order, std::vector{1});
 }
 
-// Raises its own signal before each wait, like a coroutine that has more to read.
+// Raises its own signal before each wait, as a coroutine does that has more input to read.
 Task<void> yieldRepeatedly(Signal& signal, int& rounds, int maxRounds) {
     while (rounds < maxRounds) {
         ++rounds;
@@ -130,7 +130,7 @@
     scheduler.spawn(stopAfterRounds(scheduler, 10));
     scheduler.run();
     EXPECT_EQ(secondRounds, 10);
-    EXPECT_LT(firstRounds, 20) << "resumed once in each round";
+    EXPECT_LT(firstRounds, 20) << "the coroutine is resumed once per round";
 }
 
 Task<void> waitWith(std::shared_ptr<int> resource, Signal& signal) {
--- a/tests/socket_test.cpp
+++ b/tests/socket_test.cpp
@@ -1,4 +1,4 @@
-// Options of the sockets, as the kernel reports them.
+// The options that the node sets on its sockets, as the kernel reports them.
 #include "io/socket.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,8 @@
     return on != 0;
 }
 
-// Bytes that the kernel delays would be lost if the connection were reset.
+// Guards against lost bytes: a reset of the connection discards the bytes that Nagle's algorithm still
+// delays.
 TEST(Socket, AcceptedAndOpenedConnectionsDisableNagle) {
     Scheduler scheduler;
     Signal signal{scheduler};
--- a/tests/stub_discovery.hpp
+++ b/tests/stub_discovery.hpp
@@ -1,4 +1,4 @@
-// A discovery service for tests.
+// A stub of the discovery service for tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 namespace ivyreel::test {
 
-// Queues each watch, with its request line, for the test, which sends the response.
+// Accepts watches and queues each of them with its request line. The test takes it and sends the response.
 class StubDiscovery {
   public:
     struct Watch {
@@ -33,11 +33,11 @@
     StubDiscovery() : listener_([this](TestConnection connection) { serve(std::move(connection)); }) {}
 
     std::string address() const { return listener_.address(); }
-    // The next watch; waits for it.
+    // Waits for the next watch.
     Watch next() {
         auto watch = watches_.pop();
         if (!watch) {
-            ADD_FAILURE() << "discovery received no request";
+            ADD_FAILURE() << "the discovery stub received no request";
             return {"(hang)", TestConnection{}};
         }
         return std::move(*watch);
@@ -55,7 +55,7 @@
     TestListener listener_;
 };
 
-// A server of the endpoint list, as discovery sends it.
+// The JSON entry of an endpoint in the endpoint list.
 inline std::string endpointEntry(const std::string& id, const std::string& address,
                                  const std::string& state = "active") {
     return R"({"id":")" + id + R"(","addr":")" + address + R"(","zone":"a","kind":"m1","cell":0,"state":")" +
--- a/tests/stub_server.hpp
+++ b/tests/stub_server.hpp
@@ -1,4 +1,4 @@
-// An endpoint for tests.
+// A stub endpoint for tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,8 +12,7 @@
 
 namespace ivyreel::test {
 
-// Answers health checks by itself, and queues the connections of clients, with their opening lines, for the
-// test.
+// Answers health checks, and queues the client connections with their opening lines for the test.
 class StubServer {
   public:
     // A client connection whose opening line was read.
@@ -25,11 +24,11 @@
     StubServer() : listener_([this](TestConnection connection) { serve(std::move(connection)); }) {}
 
     std::string address() const { return listener_.address(); }
-    // The next client connection; waits for it.
+    // Waits for the next client connection.
     Opened next() {
         auto opened = opened_.pop();
         if (!opened) {
-            ADD_FAILURE() << "the endpoint received no connection";
+            ADD_FAILURE() << "the stub endpoint received no client connection";
             return {"(hang)", TestConnection{}};
         }
         return std::move(*opened);
--- a/tests/virtual_clock.hpp
+++ b/tests/virtual_clock.hpp
@@ -1,5 +1,5 @@
-// A clock that stops while there are events and skips idle time, so that a test of minutes takes a fraction
-// of a second and does not depend on the speed of the machine.
+// A clock that does not advance while there are events and skips idle time, so that a test of several minutes
+// takes a fraction of a second and does not depend on the speed of the machine.
 #pragma once
 
 #include <sys/epoll.h>
@@ -28,9 +28,9 @@
     }
 
   private:
-    // Real time for the kernel to deliver what one socket of this process has sent to another.
+    // Real time that the kernel needs to deliver data between two sockets of this process.
     static constexpr Micros kLoopbackDeliveryTime{200};
-    static constexpr Time kStart{1'700'000'000'000'000};  // any Unix time
+    static constexpr Time kStart{1'700'000'000'000'000};  // an arbitrary Unix time
 
     static std::size_t poll(int epoll, std::span<epoll_event> events, Micros timeout) {
         timespec limit{};
