--- a/examples/stub_servers.cpp
+++ b/examples/stub_servers.cpp
@@ -1,7 +1,8 @@
-// Stub servers and a stub discovery service on loopback, to try the node with: see examples/README.md.
+// Stub servers and a stub discovery service on loopback for trying out the node: see examples/README.md.
 //
-// Servers s-1, s-2 and s-3 answer OPEN with UP, echo every line, and end the connection at the line "bye".
-// The discovery service lists them. Lines on standard input change the list: "leave s-2", "return s-2".
+// The servers s-1, s-2 and s-3 answer OPEN with UP, PING and STATS with PONG, and "bye" with BYE and the end
+// of the connection. They echo all other lines. The discovery service lists the servers. Commands on standard
+// input change the list: "leave s-2", "return s-2".
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -27,17 +28,17 @@
 using namespace ivyreel;
 using namespace std::chrono_literals;
 
-constexpr int kServers = 3;
+constexpr int kServerCount = 3;
 constexpr int kFirstServerPort = 9001;
 constexpr const char* kDiscoveryAddress = "127.0.0.1:8500";
 constexpr double kServerCapacity = 10.0;        // connections
-constexpr Micros kWatchHeartbeatInterval = 2s;  // of empty lines on a watch
-constexpr Micros kCommandPollInterval = 100ms;  // of standard input, which may be a pipe
+constexpr Micros kWatchHeartbeatInterval = 2s;  // between empty lines on a watch
+constexpr Micros kCommandPollInterval = 100ms;  // between reads of standard input, which may be a pipe
 
 struct StubServer {
     std::string name;
     std::string address;
-    std::string state = "active";  // as discovery lists it
+    std::string state = "active";  // in the endpoint list
     int openConnections = 0;
 };
 
@@ -45,7 +46,7 @@
 struct StubFleet {
     Scheduler scheduler;
     std::vector<StubServer> servers;
-    std::vector<Signal*> watchers;  // raised when the list has changed
+    std::vector<Signal*> watchers;  // signals of the open watches, raised when the list has changed
     std::uint64_t listVersion = 1;
 };
 
@@ -60,7 +61,7 @@
     }
 }
 
-// Waits for the next line. False if the peer has closed the connection or the line is too long.
+// Waits for the next line. Returns false if the peer has closed the connection or the line is too long.
 Task<bool> receiveLine(Signal& signal, Connection& connection, std::string& line) {
     for (;;) {
         connection.fill();
@@ -74,7 +75,7 @@
     }
 }
 
-// Accepts connections at an address forever; `serve` is the coroutine for each.
+// Accepts connections at an address until the program ends; `serve` returns the coroutine that serves one.
 template <class Serve>
 Task<void> acceptAt(Scheduler& scheduler, std::string address, Serve serve) {
     Signal signal{scheduler};
@@ -95,7 +96,7 @@
     return "x0=" + std::to_string(utilisation) + ",inflight=" + std::to_string(server.openConnections);
 }
 
-void changeOpenConnections(StubServer& server, int change) {
+void adjustOpenConnections(StubServer& server, int change) {
     server.openConnections += change;
     std::printf("%s has %d connections\n", server.name.c_str(), server.openConnections);
 }
@@ -118,12 +119,12 @@
         const std::string command(firstWord(line).first);
         if (command == "OPEN") {
             opened = true;
-            changeOpenConnections(server, 1);
+            adjustOpenConnections(server, 1);
         }
         co_await sendAll(signal, connection, replyTo(server, line));
         if (command == "bye") break;
     }
-    if (opened) changeOpenConnections(server, -1);
+    if (opened) adjustOpenConnections(server, -1);
 }
 
 // ---- discovery ----
@@ -150,8 +151,9 @@
     return size.data() + text + "\r\n";
 }
 
-// Waits until the list is newer than that version, the heartbeat is due, or the peer has closed the watch.
-Task<void> awaitNews(StubFleet& fleet, Signal& signal, Connection& connection, std::uint64_t sentVersion) {
+// Waits until the list is newer than `sentVersion`, the heartbeat is due, or the peer has closed the watch.
+Task<void> awaitListChange(StubFleet& fleet, Signal& signal, Connection& connection,
+                           std::uint64_t sentVersion) {
     const Time deadline = fleet.scheduler.now() + kWatchHeartbeatInterval;
     while (sentVersion == fleet.listVersion && !connection.over() && fleet.scheduler.now() < deadline) {
         co_await signal.wait(deadline);
@@ -159,7 +161,7 @@
     }
 }
 
-// A watch: the full list after every change, an empty line as heartbeat.
+// Serves a watch: sends the full list after every change, and an empty line as heartbeat.
 Task<void> serveWatch(StubFleet& fleet, int descriptor) {
     Signal signal{fleet.scheduler};
     Connection connection{Socket{signal, descriptor}};
@@ -175,7 +177,7 @@
         const std::string text = (changed ? fullList(fleet) : std::string()) + "\n";
         sentVersion = fleet.listVersion;
         co_await sendAll(signal, connection, httpChunk(text));
-        co_await awaitNews(fleet, signal, connection, sentVersion);
+        co_await awaitListChange(fleet, signal, connection, sentVersion);
     }
     std::erase(fleet.watchers, &signal);
 }
@@ -212,7 +214,7 @@
 }
 
 void addServers(StubFleet& fleet) {
-    for (int i = 0; i < kServers; ++i) {
+    for (int i = 0; i < kServerCount; ++i) {
         const std::string port = std::to_string(kFirstServerPort + i);
         fleet.servers.push_back({"s-" + std::to_string(i + 1), "127.0.0.1:" + port, "active", 0});
     }
@@ -229,7 +231,7 @@
     const auto serve = [&](int descriptor) { return serveWatch(fleet, descriptor); };
     scheduler.spawn(acceptAt(scheduler, kDiscoveryAddress, serve));
     scheduler.spawn(readCommands(fleet));
-    std::printf("%d stub servers; discovery at %s\n", kServers, kDiscoveryAddress);
+    std::printf("%d stub servers; discovery at %s\n", kServerCount, kDiscoveryAddress);
     scheduler.run();
 }
 
--- a/src/config/section_reader.cpp
+++ b/src/config/section_reader.cpp
@@ -12,12 +12,14 @@
     if (!value.is_number()) throw SettingsError(path, "expected a number");
     const auto number = value.get<double>();
     const bool inRange = number >= minimum && number <= maximum;
-    if (!inRange) throw SettingsError(path, "out of range");
+    if (!inRange)
+        throw SettingsError(path, "out of range: expected a number from " + Json(minimum).dump() + " to " +
+                                      Json(maximum).dump() + ", got " + value.dump());
     return number;
 }
 
-std::string wordIn(const Json& value, const std::string& path) {
-    if (!value.is_string()) throw SettingsError(path, "expected a word");
+std::string stringIn(const Json& value, const std::string& path) {
+    if (!value.is_string()) throw SettingsError(path, "expected a string");
     return value.get<std::string>();
 }
 
@@ -52,7 +54,7 @@
 
 std::string SectionReader::text(const char* key) const {
     const Json* value = find(key);
-    return value == nullptr ? std::string() : wordIn(*value, pathOf(key));
+    return value == nullptr ? std::string() : stringIn(*value, pathOf(key));
 }
 
 SectionReader SectionReader::section(const char* key) const {
@@ -69,10 +71,10 @@
     return result;
 }
 
-std::vector<std::string> SectionReader::words(const char* key) const {
+std::vector<std::string> SectionReader::strings(const char* key) const {
     std::vector<std::string> result;
     for (const Json& element : list(key)) {
-        result.push_back(wordIn(element, pathOf(key, result.size())));
+        result.push_back(stringIn(element, pathOf(key, result.size())));
     }
     return result;
 }
@@ -100,7 +102,7 @@
     static const Json kEmpty = Json::array();
     const Json* value = find(key);
     if (value == nullptr) return kEmpty;
-    if (!value->is_array()) throw SettingsError(pathOf(key), "expected a list");
+    if (!value->is_array()) throw SettingsError(pathOf(key), "expected an array");
     return *value;
 }
 
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,4 +1,4 @@
-// New settings at SIGHUP, on loopback sockets.
+// SIGHUP reloads the configuration of a running node; tested on loopback sockets.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -30,36 +30,36 @@
     reload(node, NodeProcess::config(options));
 }
 
-std::string replaced(std::string text, const std::string& what, const std::string& instead) {
+std::string replaced(std::string text, const std::string& what, const std::string& replacement) {
     const std::size_t at = text.find(what);
     if (at == std::string::npos) {
-        ADD_FAILURE() << "not in the configuration: " << what;
+        ADD_FAILURE() << "the configuration does not contain: " << what;
         return text;
     }
-    return text.replace(at, what.size(), instead);
+    return text.replace(at, what.size(), replacement);
 }
 
-TEST(Reload, AddsAClassAndDropsAnother) {
+TEST(Reload, AddsOneRequestClassAndRemovesAnother) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
     TestConnection early = node.client(openingOf("call"));
-    EXPECT_EQ(early.line(), "ERR") << "not yet known";
-    options.classes = {"call", "chat"};  // in another order too
+    EXPECT_EQ(early.line(), "ERR") << "the class is not configured yet";
+    options.classes = {"call", "chat"};  // the order of the classes changes too
     reload(node, options);
-    EstablishedPair adminRequest = establishConnection(node, server, openingOf("call"));
+    EstablishedPair call = establishConnection(node, server, openingOf("call"));
     EstablishedPair chat = establishConnection(node, server);
-    TestConnection asked = node.client(newOpeningLine());
-    auto out = server.next();
+    TestConnection pendingClient = node.client(newOpeningLine());
+    auto pendingAttempt = server.next();
     options.classes = {"call"};
     reload(node, options);
     TestConnection late = node.client(newOpeningLine());
     EXPECT_EQ(late.line(), "ERR") << "dropped";
-    out.connection.send("UP r9\r\n");
-    EXPECT_EQ(asked.line(), "UP r9") << "requests under way continue";
+    pendingAttempt.connection.send("UP r9\r\n");
+    EXPECT_EQ(pendingClient.line(), "UP r9") << "requests in flight continue";
     chat.client.send("x\r\n");
     EXPECT_EQ(chat.server.line(), "x") << "established connections continue";
-    EXPECT_EQ(node.metric("transactions.chat.answered"), 2) << "its counters are kept";
+    EXPECT_EQ(node.metric("transactions.chat.answered"), 2) << "the counters of the removed class are kept";
     EXPECT_EQ(node.metric("transactions.call.answered"), 1);
     EXPECT_EQ(node.metric("conf_loaded"), 2);
     EXPECT_EQ(node.metric("conf_invalid"), 0);
@@ -68,71 +68,72 @@
 
 TEST(Reload, ChangedIdempotencyAppliesToNewRequestsOnly) {
     StubServer server;
-    StubServer two;
+    StubServer secondServer;
     NodeProcess::Options options = withAdminServer(server);
-    options.servers.emplace_back("s-2", two.address());
+    options.servers.emplace_back("s-2", secondServer.address());
     options.idempotency = "single_shot";
     NodeProcess node{options};
     const auto attempt = [&] {
-        while (server.idle() && two.idle()) {
+        while (server.idle() && secondServer.idle()) {
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
-        return server.idle() ? two.next() : server.next();
+        return server.idle() ? secondServer.next() : server.next();
     };
-    TestConnection old = node.client(newOpeningLine());
+    TestConnection olderClient = node.client(newOpeningLine());
     auto first = attempt();
     options.idempotency = "free";
     reload(node, options);
     first.connection.reset();
-    EXPECT_EQ(old.line(), "ERR") << "it may have been executed, and was not idempotent when it came";
-    TestConnection fresh = node.client(newOpeningLine());
+    EXPECT_EQ(olderClient.line(), "ERR")
+        << "the first attempt may have been executed, and the request was not idempotent when it arrived";
+    TestConnection newerClient = node.client(newOpeningLine());
     attempt().connection.reset();
     attempt().connection.send("UP r2\r\n");
-    EXPECT_EQ(fresh.line(), "UP r2");
+    EXPECT_EQ(newerClient.line(), "UP r2");
 }
 
-TEST(Reload, AppliesNothingOfAnInvalidFile) {
+TEST(Reload, InvalidFileChangesNoSetting) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
-    const std::string sound = NodeProcess::config(options);
-    const auto optionsFor = [&sound](const std::string& what, const std::string& instead) {
-        return replaced(sound, what, instead);
+    const std::string validConfig = NodeProcess::config(options);
+    const auto configWith = [&validConfig](const std::string& what, const std::string& replacement) {
+        return replaced(validConfig, what, replacement);
     };
-    std::vector<std::string> broken = {
+    std::vector<std::string> invalidConfigs = {
         "",
-        sound.substr(0, sound.size() / 2),
-        sound.substr(0, sound.size() - 1),
+        validConfig.substr(0, validConfig.size() / 2),
+        validConfig.substr(0, validConfig.size() - 1),
         "[]",
         "{}",
-        optionsFor("\"attemptsCap\":4,", ""),
-        optionsFor("\"attemptsCap\":4", "\"attemptsCap\":0"),
-        optionsFor("\"attemptsCap\":4", "\"attemptsCap\":-2"),
-        optionsFor("\"attemptsCap\":4", "\"attemptsCap\":\"4\""),
-        optionsFor("\"attemptsCap\":4", "\"attemptsCap\":null"),
-        optionsFor("\"giveUp\":20000000", "\"giveUp\":0"),
-        optionsFor("\"giveUp\":20000000", "\"giveUp\":-1"),
-        optionsFor("\"giveUp\":20000000", "\"giveUp\":1e999"),
-        optionsFor("\"giveUp\":20000000", "\"giveUp\":\"soon\""),
-        optionsFor(",\"giveUp\":20000000", ""),
-        optionsFor("\"aim\":20000000", "\"aim\":0"),
-        optionsFor("\"repeat\":\"free\"", "\"repeat\":\"perhaps\""),
-        optionsFor("\"name\":\"chat\",", ""),
-        optionsFor("\"rules\":{\"drainGrace\":500000", "\"rules\":{\"other\":1"),
-        optionsFor("\"limits\":{\"sockets\":500}", "\"limits\":{\"sockets\":-5}"),
-        optionsFor("\"settings\"", "\"setting\""),
-        optionsFor("\"known\"", "\"unknown\""),
+        configWith("\"attemptsCap\":4,", ""),
+        configWith("\"attemptsCap\":4", "\"attemptsCap\":0"),
+        configWith("\"attemptsCap\":4", "\"attemptsCap\":-2"),
+        configWith("\"attemptsCap\":4", "\"attemptsCap\":\"4\""),
+        configWith("\"attemptsCap\":4", "\"attemptsCap\":null"),
+        configWith("\"giveUp\":20000000", "\"giveUp\":0"),
+        configWith("\"giveUp\":20000000", "\"giveUp\":-1"),
+        configWith("\"giveUp\":20000000", "\"giveUp\":1e999"),
+        configWith("\"giveUp\":20000000", "\"giveUp\":\"soon\""),
+        configWith(",\"giveUp\":20000000", ""),
+        configWith("\"aim\":20000000", "\"aim\":0"),
+        configWith("\"repeat\":\"free\"", "\"repeat\":\"perhaps\""),
+        configWith("\"name\":\"chat\",", ""),
+        configWith("\"rules\":{\"drainGrace\":500000", "\"rules\":{\"other\":1"),
+        configWith("\"limits\":{\"sockets\":500}", "\"limits\":{\"sockets\":-5}"),
+        configWith("\"settings\"", "\"setting\""),
+        configWith("\"known\"", "\"unknown\""),
     };
     options.classes = {};
-    broken.push_back(NodeProcess::config(options));
+    invalidConfigs.push_back(NodeProcess::config(options));
     options.classes = {"chat", "chat"};
-    broken.push_back(NodeProcess::config(options));
+    invalidConfigs.push_back(NodeProcess::config(options));
     options.classes = {"other"};
-    for (const std::string& text : broken) {
+    for (const std::string& text : invalidConfigs) {
         node.reload(text);
         EXPECT_NE(node.awaitLogLine("configuration "), "") << text;
     }
-    EXPECT_EQ(node.metric("conf_invalid"), static_cast<long>(broken.size()));
+    EXPECT_EQ(node.metric("conf_invalid"), static_cast<long>(invalidConfigs.size()));
     EXPECT_EQ(node.metric("conf_loaded"), 0);
     establishConnection(node, server);
     reload(node, options);
@@ -140,7 +141,7 @@
     EXPECT_EQ(node.stop(), 0) << node.remainingLog();
 }
 
-TEST(Reload, TheLastOfManyInARowApplies) {
+TEST(Reload, LastOfSeveralConsecutiveReloadsApplies) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
@@ -152,14 +153,15 @@
     do {
         client = node.client(openingOf("c19"));
         awaitRequestOrAnswer(server, client);
-    } while (server.idle());  // ERR until the last file has been read
+    } while (server.idle());  // the node answers ERR until it has read the last file
     server.next().connection.send("UP r1\r\n");
     EXPECT_EQ(client.line(), "UP r1");
-    TestConnection gone = node.client(openingOf("c3"));
-    EXPECT_EQ(gone.line(), "ERR");
+    TestConnection clientOfRemovedClass = node.client(openingOf("c3"));
+    EXPECT_EQ(clientOfRemovedClass.line(), "ERR");
 }
 
-// The configuration of another kind of deployment: nodes, zones, discovery mode, prices, goal, groups.
+// The configuration of another kind of deployment, with other nodes, zones, discovery mode, prices, goal and
+// groups.
 std::string otherDeployment(const NodeProcess::Options& options) {
     std::string text = NodeProcess::config(options);
     const std::pair<const char*, const char*> changes[] = {
@@ -171,37 +173,39 @@
         {"\"grades\"", R"("prices":{"crossZone":0.13},"goal":{"availability":0.3,"topNines":3.0,"whole":0.1},
         "familyInfo":{"groups":true},"grades")"},
     };
-    for (const auto& [what, instead] : changes) {
-        text = replaced(text, what, instead);
+    for (const auto& [what, replacement] : changes) {
+        text = replaced(text, what, replacement);
     }
     return text;
 }
 
-// Regression: the way back was rejected, because the file lacks keys that only the other deployment has.
+// Regression: the reload of the first configuration was rejected, because that file lacks keys that only the
+// other deployment has.
 TEST(Reload, SwitchesToAnotherDeploymentAndBackUnderLoad) {
     StubServer server;
     NodeProcess::Options options = withAdminServer(server);
     NodeProcess node{options};
-    const std::string old = replaced(
+    const std::string firstDeployment = replaced(
         replaced(NodeProcess::config(options), "\"instances\":1", R"("instances":1,"me":0,"zone":0)"),
         "\"grades\"",
         R"("prices":{"crossZone":0.02},"goal":{"whole":1},"familyInfo":{"groups":false},"grades")");
-    const std::string next = otherDeployment(options);
-    reload(node, old);
+    const std::string secondDeployment = otherDeployment(options);
+    reload(node, firstDeployment);
     EstablishedPair first = establishConnection(node, server);
-    TestConnection asked = node.client(newOpeningLine());
-    auto out = server.next();
-    reload(node, next);
-    out.connection.send("UP r2\r\n");
-    EXPECT_EQ(asked.line(), "UP r2") << "in flight at the switch";
+    TestConnection pendingClient = node.client(newOpeningLine());
+    auto pendingAttempt = server.next();
+    reload(node, secondDeployment);
+    pendingAttempt.connection.send("UP r2\r\n");
+    EXPECT_EQ(pendingClient.line(), "UP r2") << "in flight when the configuration changes";
     EstablishedPair second = establishConnection(node, server);
-    TestConnection askedThen = node.client(newOpeningLine());
-    auto outThen = server.next();
-    node.reload(replaced(next, "0.13", "-0.1"));
-    node.awaitLogLine("settings at prices.crossZone: out of range");
-    reload(node, old);
-    outThen.connection.send("UP r4\r\n");
-    EXPECT_EQ(askedThen.line(), "UP r4") << "in flight at the way back";
+    TestConnection secondPendingClient = node.client(newOpeningLine());
+    auto secondPendingAttempt = server.next();
+    node.reload(replaced(secondDeployment, "0.13", "-0.1"));
+    node.awaitLogLine(
+        "settings at prices.crossZone: out of range: expected a number from 0.0 to 1e+15, got -0.1");
+    reload(node, firstDeployment);
+    secondPendingAttempt.connection.send("UP r4\r\n");
+    EXPECT_EQ(secondPendingClient.line(), "UP r4") << "in flight when the first configuration returns";
     EstablishedPair third = establishConnection(node, server);
     for (EstablishedPair* pair : {&first, &second, &third}) {
         pair->client.send("x\r\n");
@@ -215,8 +219,9 @@
     EXPECT_EQ(node.stop(), 0) << node.remainingLog();
 }
 
-// Regression: the node served on its first list for good, since nobody pushes one between sockets.
-TEST(Reload, WatchesTheListThoughTheSettingsSayThatItIsPushed) {
+// Regression: the node used its first endpoint list permanently after a reload with the mode "push", because
+// no list is pushed over sockets.
+TEST(Reload, WatchesTheListEvenIfTheSettingsSayThatItIsPushed) {
     StubServer server;
     StubDiscovery discovery;
     NodeProcess::Options options = optionsFor(server, discovery);
@@ -225,7 +230,8 @@
     watch.begin();
     reload(node, otherDeployment(options));
     watch.connection.reset();
-    EXPECT_NE(discovery.next().request.find("/catalog/members"), std::string::npos) << "watched again";
+    EXPECT_NE(discovery.next().request.find("/catalog/members"), std::string::npos)
+        << "the node opens a new watch";
 }
 
 }  // namespace
--- a/tests/virtual_clock.hpp
+++ b/tests/virtual_clock.hpp
@@ -1,5 +1,5 @@
-// A clock that stops while there are events and skips idle time, so that a test of minutes takes a fraction
-// of a second and does not depend on the speed of the machine.
+// A clock that does not advance while there are events and skips idle time, so that a test of several minutes
+// takes a fraction of a second and does not depend on the speed of the machine.
 #pragma once
 
 #include <sys/epoll.h>
@@ -22,15 +22,15 @@
     std::size_t wait(int epoll, std::span<epoll_event> events, Micros timeout) override {
         std::size_t count = poll(epoll, events, Micros{0});
         if (count > 0 || timeout == Micros{0}) return count;
-        count = poll(epoll, events, kDeliveryGrace);
+        count = poll(epoll, events, kLoopbackDeliveryTime);
         if (count == 0) now_ += timeout;
         return count;
     }
 
   private:
-    // Real time for the kernel to deliver what one socket of this process has sent to another.
-    static constexpr Micros kDeliveryGrace{200};
-    static constexpr Time kStart{1'700'000'000'000'000};  // any Unix time
+    // Real time that the kernel needs to deliver data between two sockets of this process.
+    static constexpr Micros kLoopbackDeliveryTime{200};
+    static constexpr Time kStart{1'700'000'000'000'000};  // an arbitrary Unix time
 
     static std::size_t poll(int epoll, std::span<epoll_event> events, Micros timeout) {
         timespec limit{};
