--- a/src/decision/connection_accounts.cpp
+++ b/src/decision/connection_accounting.cpp
@@ -1,4 +1,4 @@
-#include "decision/connection_accounts.hpp"
+#include "decision/connection_accounting.hpp"
 
 namespace ivyreel {
 namespace {
--- a/src/decision/endpoint_list_polling.cpp
+++ b/src/decision/endpoint_list_polling.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "decision/span_arithmetic.hpp"
+#include "decision/duration_arithmetic.hpp"
 
 namespace ivyreel {
 namespace {
--- a/src/decision/endpoint_selection_engine.cpp
+++ b/src/decision/endpoint_selection_engine.cpp
@@ -4,14 +4,14 @@
 #include <utility>
 #include <variant>
 
-#include "decision/connection_accounts.hpp"
+#include "decision/connection_accounting.hpp"
+#include "decision/duration_arithmetic.hpp"
 #include "decision/endpoint_supervision.hpp"
 #include "decision/health_check_schedule.hpp"
 #include "decision/message_delay.hpp"
 #include "decision/outlier_detection.hpp"
 #include "decision/request_placement.hpp"
 #include "decision/retry_policy.hpp"
-#include "decision/span_arithmetic.hpp"
 #include "decision/timers.hpp"
 
 namespace ivyreel {
--- a/src/decision/endpoint_supervision.cpp
+++ b/src/decision/endpoint_supervision.cpp
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "decision/connection_accounts.hpp"
+#include "decision/connection_accounting.hpp"
 #include "decision/health_check_schedule.hpp"
 #include "decision/load_report_handling.hpp"
 #include "decision/migration.hpp"
--- a/src/decision/fleet_capacity_estimate.cpp
+++ b/src/decision/fleet_capacity_estimate.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "decision/span_arithmetic.hpp"
+#include "decision/duration_arithmetic.hpp"
 
 namespace ivyreel {
 namespace {
--- a/src/decision/fleet_snapshot.cpp
+++ b/src/decision/fleet_snapshot.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "decision/duration_arithmetic.hpp"
 #include "decision/effective_capacity.hpp"
 #include "decision/saturation_threshold.hpp"
-#include "decision/span_arithmetic.hpp"
 
 namespace ivyreel {
 namespace {
--- a/src/decision/migration.cpp
+++ b/src/decision/migration.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "decision/duration_arithmetic.hpp"
 #include "decision/effective_capacity.hpp"
-#include "decision/span_arithmetic.hpp"
 #include "decision/timers.hpp"
 #include "decision/utilisation_estimate.hpp"
 
--- a/src/decision/request_placement.cpp
+++ b/src/decision/request_placement.cpp
@@ -3,12 +3,12 @@
 #include <cstdint>
 #include <optional>
 
-#include "decision/connection_accounts.hpp"
+#include "decision/connection_accounting.hpp"
+#include "decision/duration_arithmetic.hpp"
 #include "decision/endpoint_supervision.hpp"
 #include "decision/load_polling.hpp"
 #include "decision/retry_policy.hpp"
 #include "decision/slow_start.hpp"
-#include "decision/span_arithmetic.hpp"
 #include "decision/timers.hpp"
 #include "decision/weighted_selection.hpp"
 
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <numeric>
 
-#include "decision/span_arithmetic.hpp"
+#include "decision/duration_arithmetic.hpp"
 #include "decision/warm_up.hpp"
 #include "util/random.hpp"
 
--- a/src/decision/utilisation_estimate.cpp
+++ b/src/decision/utilisation_estimate.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
+#include "decision/duration_arithmetic.hpp"
 #include "decision/saturation_threshold.hpp"
-#include "decision/span_arithmetic.hpp"
 
 namespace ivyreel {
 
--- a/src/decision/warm_up.hpp
+++ b/src/decision/warm_up.hpp
@@ -6,9 +6,9 @@
 
 #include <algorithm>
 
+#include "decision/duration_arithmetic.hpp"
 #include "decision/endpoint.hpp"
 #include "decision/settings.hpp"
-#include "decision/span_arithmetic.hpp"
 #include "decision/types.hpp"
 
 namespace ivyreel {
--- a/tests/decision/endpoint_list_polling_test.cpp
+++ b/tests/decision/endpoint_list_polling_test.cpp
@@ -8,7 +8,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "decision_parts.hpp"
+#include "decision_fixture.hpp"
 
 namespace ivyreel::test {
 namespace {
--- a/tests/decision/fleet_snapshot_test.cpp
+++ b/tests/decision/fleet_snapshot_test.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <cstdint>
 
-#include "decision_parts.hpp"
+#include "decision_fixture.hpp"
 
 namespace ivyreel::test {
 namespace {
--- a/tests/decision/message_delay_test.cpp
+++ b/tests/decision/message_delay_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "decision_parts.hpp"
+#include "decision_fixture.hpp"
 
 namespace ivyreel::test {
 namespace {
--- a/tests/decision/send_rate_test.cpp
+++ b/tests/decision/send_rate_test.cpp
@@ -5,7 +5,7 @@
 
 #include <cstdint>
 
-#include "decision_parts.hpp"
+#include "decision_fixture.hpp"
 
 namespace ivyreel::test {
 namespace {
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "decision_parts.hpp"
+#include "decision_fixture.hpp"
 
 namespace ivyreel::test {
 namespace {
--- a/tests/decision/utilisation_estimate_test.cpp
+++ b/tests/decision/utilisation_estimate_test.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "decision/effective_capacity.hpp"
-#include "decision_parts.hpp"
+#include "decision_fixture.hpp"
 
 namespace ivyreel::test {
 namespace {
--- a/tests/decision/warm_up_test.cpp
+++ b/tests/decision/warm_up_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "decision/effective_capacity.hpp"
-#include "decision_parts.hpp"
+#include "decision_fixture.hpp"
 
 namespace ivyreel::test {
 namespace {
--- a/tests/decision/weighted_selection_test.cpp
+++ b/tests/decision/weighted_selection_test.cpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <set>
 
-#include "decision_parts.hpp"
+#include "decision_fixture.hpp"
 
 namespace ivyreel::test {
 namespace {
