--- a/examples/stub_servers.cpp
+++ b/examples/stub_servers.cpp
@@ -64,13 +64,13 @@
 // Waits for the next line. Returns false if the peer has closed the connection or the line is too long.
 Task<bool> receiveLine(Signal& signal, Connection& connection, std::string& line) {
     for (;;) {
-        connection.fill();
-        if (const auto next = firstLine(connection.in.view())) {
+        connection.receive();
+        if (const auto next = firstLine(connection.input.view())) {
             line = std::string(next->text);
-            connection.in.drop(next->bytes);
+            connection.input.consume(next->bytes);
             co_return true;
         }
-        if (connection.over() || exceedsMaxLineLength(connection.in.view())) co_return false;
+        if (connection.inputEnded() || exceedsMaxLineLength(connection.input.view())) co_return false;
         co_await signal.wait();
     }
 }
@@ -82,7 +82,7 @@
     const Socket listener = Socket::listenOn(signal, *Address::parse(address));
     for (;;) {
         int descriptor = -1;
-        while (listener.accept(descriptor) == Socket::Accepting::Taken) {
+        while (listener.accept(descriptor) == Socket::AcceptResult::Accepted) {
             scheduler.spawn(serve(descriptor));
         }
         co_await signal.wait();
@@ -155,9 +155,9 @@
 Task<void> awaitListChange(StubFleet& fleet, Signal& signal, Connection& connection,
                            std::uint64_t sentVersion) {
     const Time deadline = fleet.scheduler.now() + kWatchHeartbeatInterval;
-    while (sentVersion == fleet.listVersion && !connection.over() && fleet.scheduler.now() < deadline) {
+    while (sentVersion == fleet.listVersion && !connection.inputEnded() && fleet.scheduler.now() < deadline) {
         co_await signal.wait(deadline);
-        connection.fill();
+        connection.receive();
     }
 }
 
@@ -172,7 +172,7 @@
     co_await sendAll(signal, connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     fleet.watchers.push_back(&signal);
     std::uint64_t sentVersion = 0;
-    while (!connection.over()) {
+    while (!connection.inputEnded()) {
         const bool changed = sentVersion != fleet.listVersion;
         const std::string text = (changed ? fullList(fleet) : std::string()) + "\n";
         sentVersion = fleet.listVersion;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -45,10 +45,10 @@
 };
 
 bool AdminServer::Session::receiveRequest(AdminDelegate& node) {
-    if (connection.fill()) signal.raise();  // more input may be available
+    if (connection.receive()) signal.raise();  // more input may be available
     if (!response.empty()) return true;
     try {
-        request.take(connection.in, requestBody);
+        request.consume(connection.input, requestBody);
         if (request.complete())
             response = serialize(handleAdminRequest(node, request.method(), request.target()));
     } catch (const std::exception& error) {
@@ -59,10 +59,10 @@
 
 void AdminServer::Session::sendResponse() {
     // Closing a socket with unread input would reset the connection, and the client could lose the response.
-    connection.in.drop(connection.in.size());
+    connection.input.consume(connection.input.size());
     connection.send(response, sent);
     const bool complete = sent == response.size();
-    if (complete && !std::exchange(responseSent, true)) connection.socket.finishSending();
+    if (complete && !std::exchange(responseSent, true)) connection.socket.shutdownSend();
 }
 
 bool AdminServer::Session::finished() const {
@@ -96,9 +96,9 @@
             return kNever;
         }
         int descriptor = -1;
-        const Socket::Accepting result = listener_.accept(descriptor);
-        if (result == Socket::Accepting::Exhausted) return scheduler_.now() + kExhaustedRetryDelay;
-        if (result == Socket::Accepting::None) return kNever;
+        const Socket::AcceptResult result = listener_.accept(descriptor);
+        if (result == Socket::AcceptResult::Exhausted) return scheduler_.now() + kExhaustedRetryDelay;
+        if (result == Socket::AcceptResult::WouldBlock) return kNever;
         startSession(descriptor);
     }
     return kNever;
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -23,7 +23,7 @@
     // std::system_error.
     AdminServer(Scheduler& scheduler, AdminDelegate& node, const Address& listen, int inheritedListener = -1);
 
-    Address address() const { return listener_.local(); }
+    Address address() const { return listener_.localAddress(); }
     int listener() const { return listener_.descriptor(); }
     // Starts or stops accepting. While the server does not accept, new connections wait in the listen queue.
     void setAccepting(bool accepting);
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -122,7 +122,7 @@
     appendMetric(text, "conf_invalid", confInvalid, MetricType::Counter);
     appendMetric(text, "current", gauges.currentConnections, MetricType::Gauge);
     appendMetric(text, "cluster_size", gauges.listedEndpoints, MetricType::Gauge);
-    appendMetric(text, "cluster_unhealthy", gauges.avoidedEndpoints, MetricType::Gauge);
+    appendMetric(text, "cluster_unhealthy", gauges.excludedEndpoints, MetricType::Gauge);
     appendMetric(text, "list_calls", listCalls, MetricType::Counter);
     appendMetric(text, "list_calls_rejected", listCallsRejected, MetricType::Counter);
     appendMetric(text, "list_calls_cancelled", listCallsCancelled, MetricType::Counter);
--- a/src/admin/metrics.hpp
+++ b/src/admin/metrics.hpp
@@ -96,7 +96,7 @@
     struct Gauges {
         std::size_t currentConnections = 0;
         std::size_t listedEndpoints = 0;
-        std::size_t avoidedEndpoints = 0;
+        std::size_t excludedEndpoints = 0;
         std::int64_t listAgeMs = 0;    // since the last message from discovery
         std::int64_t listStaleMs = 0;  // total time without an open watch
     };
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -168,8 +168,8 @@
     config.listen = parseAddress(fromEnvironment("RELAY_LISTEN", textOf(document, "listen")), "listen");
     config.adminAddress = adminAddressOf(document);
     config.discovery = discoveryOf(document, mode);
-    config.sockets = descriptorLimitOf(document);
-    config.known = knownListOf(document);
+    config.descriptorLimit = descriptorLimitOf(document);
+    config.knownEndpoints = knownListOf(document);
     config.settings = settingsOf(document);
     config.settings.settings.seed = seedOf(document);
     config.text = text;
--- a/src/config/node_config.hpp
+++ b/src/config/node_config.hpp
@@ -17,8 +17,8 @@
     Address listen;
     Address discovery;
     std::optional<Address> adminAddress;  // none: the node has no admin server
-    std::size_t sockets = 0;              // limit of open descriptors; 0: no limit is configured
-    MembershipUpdate known;               // the last known endpoint list
+    std::size_t descriptorLimit = 0;      // limit of open descriptors; 0: no limit is configured
+    MembershipUpdate knownEndpoints;      // the last known endpoint list
     NodeSettings settings;
     bool listPushed = false;  // the settings say "push"; the node polls the endpoint list nevertheless
     std::string text;         // of the configuration file
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -33,7 +33,7 @@
     settings.nodes = root.count("instances", settings.nodes, 1);
     if (root.has("me")) settings.nodeIndex = root.count("me", 0, 0, settings.nodes - 1);
     settings.zone = ZoneIndex{root.count("zone", 0)};
-    settings.resolution = root.micros("resolution", settings.resolution);
+    settings.eventResolution = root.micros("resolution", settings.eventResolution);
     settings.overQuotaPriorityWeight = root.number("overShareWorth", settings.overQuotaPriorityWeight);
     settings.discoveryMode = root.choice("registryMode", settings.discoveryMode,
                                          {{"push", DiscoveryMode::Push}, {"ask", DiscoveryMode::Poll}});
--- a/src/decision/connection_accounting.cpp
+++ b/src/decision/connection_accounting.cpp
@@ -12,12 +12,12 @@
 
 }  // namespace
 
-void countConnectionIn(DecisionState& state, const Request& request) {
+void addToConnectionCounts(DecisionState& state, const Request& request) {
     if (Endpoint* endpoint = state.endpoints.find(request.target.id)) addConnection(*endpoint, request.load);
     countForTenantAndGroup(state, request, 1);
 }
 
-void countConnectionOut(DecisionState& state, const Request& request) {
+void removeFromConnectionCounts(DecisionState& state, const Request& request) {
     if (Endpoint* endpoint = state.endpoints.find(request.target.id)) {
         removeConnection(*endpoint, request.arrival.request, request.load);
         state.fleet.removeSend(request.arrival.request);
--- a/src/decision/connection_accounting.hpp
+++ b/src/decision/connection_accounting.hpp
@@ -9,8 +9,8 @@
 
 // Adds an attempt or a resumed connection to the counters of its target endpoint, tenant and affinity group.
 // Each one must be added once and removed once.
-void countConnectionIn(DecisionState& state, const Request& request);
-// Removes an attempt or a connection that countConnectionIn added.
-void countConnectionOut(DecisionState& state, const Request& request);
+void addToConnectionCounts(DecisionState& state, const Request& request);
+// Removes an attempt or a connection that addToConnectionCounts added.
+void removeFromConnectionCounts(DecisionState& state, const Request& request);
 
 }  // namespace ivyreel
--- a/src/decision/decision_engine.hpp
+++ b/src/decision/decision_engine.hpp
@@ -32,10 +32,10 @@
 
     // Whether the latest attempt of the request may still send the request. The connection for the attempt
     // takes time to be established, and the facts behind the decision may have changed meanwhile.
-    virtual bool isStillValid(Time /*now*/, RequestId /*request*/) const { return true; }
+    virtual bool isAttemptStillValid(Time /*now*/, RequestId /*request*/) const { return true; }
 
     // The number of listed endpoints that get no new connections because they are banned or unhealthy.
-    virtual std::size_t avoidedEndpointCount() const { return 0; }
+    virtual std::size_t excludedEndpointCount() const { return 0; }
 
     // The learned state, for the engine of a successor.
     virtual LearnedState learnedState(Time /*now*/) const { return {}; }
--- a/src/decision/decision_state.hpp
+++ b/src/decision/decision_state.hpp
@@ -24,7 +24,7 @@
 namespace ivyreel {
 
 // The time of the event that is being handled, and the list to which its actions are appended.
-struct Step {
+struct EventContext {
     Time now;
     std::vector<Action>& actions;
 };
@@ -48,7 +48,7 @@
     ConnectionLoadEstimate loads;
     SaturationThreshold saturationThreshold;
     SetupTimeEstimate setupTimes;
-    FleetMonitor fleet;
+    FleetSnapshotCache fleet;
     KindCapacityEstimate kinds;
     AffinityGroups groups;
     AdmissionControl admission;
--- a/src/decision/endpoint.cpp
+++ b/src/decision/endpoint.cpp
@@ -5,15 +5,17 @@
 namespace ivyreel {
 
 void addConnection(Endpoint& endpoint, double load) {
-    ++endpoint.ownConnections;
-    endpoint.ownLoad = endpoint.ownConnections > 0 ? std::max(0.0, endpoint.ownLoad + load) : 0.0;
+    ++endpoint.connectionsFromThisNode;
+    endpoint.loadFromThisNode =
+        endpoint.connectionsFromThisNode > 0 ? std::max(0.0, endpoint.loadFromThisNode + load) : 0.0;
 }
 
 void removeConnection(Endpoint& endpoint, RequestId request, double load) {
-    --endpoint.ownConnections;
+    --endpoint.connectionsFromThisNode;
     std::erase_if(endpoint.recentSends,
                   [request](const RecentSend& send) { return send.request == request; });
-    endpoint.ownLoad = endpoint.ownConnections > 0 ? std::max(0.0, endpoint.ownLoad - load) : 0.0;
+    endpoint.loadFromThisNode =
+        endpoint.connectionsFromThisNode > 0 ? std::max(0.0, endpoint.loadFromThisNode - load) : 0.0;
 }
 
 }  // namespace ivyreel
--- a/src/decision/endpoint.hpp
+++ b/src/decision/endpoint.hpp
@@ -2,7 +2,7 @@
 // reports and health checks, and this node's attempts and connections to it.
 //
 // Utilisation is in per cent of capacity, 0 to 100. Loads are in microseconds of work per second, except
-// LearnedEndpointState::load, which is the reported load over capacity.
+// LearnedEndpointState::loadOverCapacity, which is the reported load over capacity.
 #pragma once
 
 #include <chrono>
@@ -35,15 +35,15 @@
     int consecutiveUnanswered = 0;  // consecutive checks without any response
 };
 
-// Invariants: ownLoad is 0 while ownConnections is 0; recentSends are ordered by sentAt.
+// Invariants: loadFromThisNode is 0 while connectionsFromThisNode is 0; recentSends are ordered by sentAt.
 struct Endpoint : LearnedEndpointState {
     EndpointEntry entry;
     bool listed = false;
     Time warmingUpSince{0};  // start of its process, or the arrival of the list entry if that is earlier
     HealthCheckState healthCheck;
     std::vector<RecentSend> recentSends;
-    double ownLoad = 0.0;    // load of this node's connections and attempts
-    int ownConnections = 0;  // number of this node's connections and attempts
+    double loadFromThisNode = 0.0;    // load of this node's connections and attempts
+    int connectionsFromThisNode = 0;  // number of this node's connections and attempts
 };
 
 // Adds an attempt or connection of this node to the endpoint's counters.
@@ -80,8 +80,8 @@
 }
 
 // The part of this node's load that the endpoint's last report includes.
-inline double reportedOwnLoad(const Endpoint& endpoint) {
-    return endpoint.ownLoad - recentLoad(endpoint);
+inline double reportedLoadFromThisNode(const Endpoint& endpoint) {
+    return endpoint.loadFromThisNode - recentLoad(endpoint);
 }
 
 }  // namespace ivyreel
--- a/src/decision/endpoint_selection_engine.cpp
+++ b/src/decision/endpoint_selection_engine.cpp
@@ -34,28 +34,28 @@
 }
 
 void EndpointSelectionEngine::handle(Time now, const Event& event, std::vector<Action>& actions) {
-    const Step step{now, actions};
-    std::visit([this, step](const auto& alternative) { on(alternative, step); }, event);
+    const EventContext eventContext{now, actions};
+    std::visit([this, eventContext](const auto& alternative) { on(alternative, eventContext); }, event);
 }
 
 // ---- start, settings, learned state ----
 
-void EndpointSelectionEngine::on(const Started& /*event*/, Step step) {
-    state_.startedAt = step.now;
-    state_.arrivals.start(step.now);
-    if (isSmallFleet(state_.settings.nodes)) state_.newNodeUntil = step.now + kNewNodePeriod;
-    if (state_.settings.discoveryMode == DiscoveryMode::Poll) pollEndpointList(step);
+void EndpointSelectionEngine::on(const Started& /*event*/, EventContext eventContext) {
+    state_.startedAt = eventContext.now;
+    state_.arrivals.start(eventContext.now);
+    if (isSmallFleet(state_.settings.nodes)) state_.newNodeUntil = eventContext.now + kNewNodePeriod;
+    if (state_.settings.discoveryMode == DiscoveryMode::Poll) pollEndpointList(eventContext);
     const Micros firstDelay =
         scaled(endpointTimerInterval(state_.settings), state_.random.next()) + Micros{1};
-    step.actions.emplace_back(SetTimer{firstDelay, kEndpointTimer});
+    eventContext.actions.emplace_back(SetTimer{firstDelay, kEndpointTimer});
 }
 
 // The learned state is kept, and each request keeps the class settings of its arrival.
-void EndpointSelectionEngine::on(const SettingsChanged& event, Step step) {
+void EndpointSelectionEngine::on(const SettingsChanged& event, EventContext eventContext) {
     state_.saturationThreshold.changeSettings(state_.settings, event.settings);
     state_.settings = event.settings;
     applySettings();
-    retryWaitingRequests(state_, RetryScope::All, step);
+    retryWaitingRequests(state_, RetryScope::All, eventContext);
 }
 
 void EndpointSelectionEngine::applySettings() {
@@ -79,9 +79,9 @@
 // Departure, inherited state: after an upgrade the node continues with the learned state of its predecessor,
 // except for endpoints that have restarted since. This prevents a node from losing all learned state at each
 // upgrade.
-void EndpointSelectionEngine::on(const LearnedStateInherited& event, Step step) {
+void EndpointSelectionEngine::on(const LearnedStateInherited& event, EventContext eventContext) {
     const LearnedFleetState& learned = event.learnedState.fleet;
-    state_.arrivals.restore(learned, step.now);
+    state_.arrivals.restore(learned, eventContext.now);
     state_.loads.restore(learned);
     state_.saturationThreshold.restore(learned);
     state_.setupTimes.restore(learned);
@@ -96,75 +96,75 @@
 
 // ---- timers ----
 
-void EndpointSelectionEngine::on(const TimerExpired& event, Step step) {
-    if (event.token == kRequestTimer) return runRequestTimer(step);
-    runEndpointTimer(step);
+void EndpointSelectionEngine::on(const TimerExpired& event, EventContext eventContext) {
+    if (event.token == kRequestTimer) return runRequestTimer(eventContext);
+    runEndpointTimer(eventContext);
 }
 
-void EndpointSelectionEngine::runRequestTimer(Step step) {
+void EndpointSelectionEngine::runRequestTimer(EventContext eventContext) {
     state_.requestTimerSet = false;
-    finishExpiredRequests(state_, step);
-    retryWaitingRequests(state_, RetryScope::PollResolved, step);
-    setRequestTimer(state_, step);
+    finishExpiredRequests(state_, eventContext);
+    retryWaitingRequests(state_, RetryScope::PollResolved, eventContext);
+    setRequestTimer(state_, eventContext);
 }
 
-void EndpointSelectionEngine::runEndpointTimer(Step step) {
-    step.actions.emplace_back(SetTimer{endpointTimerInterval(state_.settings), kEndpointTimer});
+void EndpointSelectionEngine::runEndpointTimer(EventContext eventContext) {
+    eventContext.actions.emplace_back(SetTimer{endpointTimerInterval(state_.settings), kEndpointTimer});
     // A report removes the sends that it includes; without reports, sends expire here.
-    state_.endpoints.removeSendsBefore(step.now - kReportLifetime);
-    if (state_.settings.discoveryMode == DiscoveryMode::Poll && state_.listPolling.isDue(step.now))
-        pollEndpointList(step);
-    startDueHealthChecks(state_, step);
-    retryWaitingRequests(state_, RetryScope::All, step);
-    evacuateEndpoints(state_, step);
+    state_.endpoints.removeSendsBefore(eventContext.now - kReportLifetime);
+    if (state_.settings.discoveryMode == DiscoveryMode::Poll && state_.listPolling.isDue(eventContext.now))
+        pollEndpointList(eventContext);
+    startDueHealthChecks(state_, eventContext);
+    retryWaitingRequests(state_, RetryScope::All, eventContext);
+    evacuateEndpoints(state_, eventContext);
 }
 
 // ---- endpoint list and bans ----
 
-void EndpointSelectionEngine::on(const EndpointListChanged& event, Step step) {
+void EndpointSelectionEngine::on(const EndpointListChanged& event, EventContext eventContext) {
     if (event.kind == EndpointListKind::Failed)
-        return state_.listPolling.recordFailure(step.now, state_.settings.operatingLimits.maxPollInterval,
-                                                state_.random);
+        return state_.listPolling.recordFailure(
+            eventContext.now, state_.settings.operatingLimits.maxPollInterval, state_.random);
     if (event.kind != EndpointListKind::Cached) state_.listPolling.recordSuccess();
-    state_.endpoints.apply(event, state_.settings.weightKind, step.now, state_.startedAt);
-    startDueHealthChecks(state_, step);
-    retryWaitingRequests(state_, RetryScope::All, step);
+    state_.endpoints.apply(event, state_.settings.weightKind, eventContext.now, state_.startedAt);
+    startDueHealthChecks(state_, eventContext);
+    retryWaitingRequests(state_, RetryScope::All, eventContext);
 }
 
-void EndpointSelectionEngine::on(const EndpointBanChanged& event, Step step) {
+void EndpointSelectionEngine::on(const EndpointBanChanged& event, EventContext eventContext) {
     state_.endpoints.setBanned(event.endpoint, event.banned);
-    retryWaitingRequests(state_, RetryScope::All, step);
+    retryWaitingRequests(state_, RetryScope::All, eventContext);
 }
 
-void EndpointSelectionEngine::pollEndpointList(Step step) {
-    step.actions.emplace_back(WatchEndpoints{});
-    state_.listPolling.recordPoll(step.now, state_.settings.operatingLimits.maxPollInterval);
+void EndpointSelectionEngine::pollEndpointList(EventContext eventContext) {
+    eventContext.actions.emplace_back(WatchEndpoints{});
+    state_.listPolling.recordPoll(eventContext.now, state_.settings.operatingLimits.maxPollInterval);
 }
 
 // ---- health checks and load reports ----
 
-void EndpointSelectionEngine::on(const HealthCheckCompleted& event, Step step) {
+void EndpointSelectionEngine::on(const HealthCheckCompleted& event, EventContext eventContext) {
     Endpoint* endpoint = state_.endpoints.find(event.endpoint);
     if (endpoint == nullptr) return;
-    recordHealthCheckResult(*endpoint, event, state_.settings, step.now);
-    if (event.report) takeLoadReport(state_, *endpoint, *event.report, step);
+    recordHealthCheckResult(*endpoint, event, state_.settings, eventContext.now);
+    if (event.report) applyLoadReport(state_, *endpoint, *event.report, eventContext);
     const double limit = kFullUtilisation * state_.saturationThreshold.withTolerance();
     const bool hasSpareCapacity = event.report && endpoint->utilisation < limit;
-    retryWaitingRequests(state_, hasSpareCapacity ? RetryScope::All : RetryScope::PollResolved, step);
+    retryWaitingRequests(state_, hasSpareCapacity ? RetryScope::All : RetryScope::PollResolved, eventContext);
 }
 
 // ---- lifecycle of a request ----
 
-void EndpointSelectionEngine::on(const RequestArrived& event, Step step) {
+void EndpointSelectionEngine::on(const RequestArrived& event, EventContext eventContext) {
     Request& request = state_.requests.findOrAdd(event.request);
     state_.requests.markUnconnected(event.request);
-    initialise(request, event, step.now);
-    request.deadline = step.now + event.clientTimeout;
+    initialise(request, event, eventContext.now);
+    request.deadline = eventContext.now + event.clientTimeout;
     request.randomNumber = state_.random.bits();
-    state_.arrivals.recordArrival(step.now);
+    state_.arrivals.recordArrival(eventContext.now);
     state_.loads.recordArrival(request.load);
-    placeRequest(state_, event.request, request, step);
-    setRequestTimer(state_, step);
+    placeRequest(state_, event.request, request, eventContext);
+    setRequestTimer(state_, eventContext);
 }
 
 void EndpointSelectionEngine::initialise(Request& request, const RequestArrived& arrival, Time now) {
@@ -177,7 +177,7 @@
 }
 
 // An endpoint that has restarted since the selection is not the selected one: its new process is warming up.
-bool EndpointSelectionEngine::isStillValid(Time now, RequestId request) const {
+bool EndpointSelectionEngine::isAttemptStillValid(Time now, RequestId request) const {
     const Request* found = state_.requests.find(request);
     if (found == nullptr || !found->attemptOutstanding) return false;
     const Endpoint* endpoint = state_.endpoints.find(found->target.id);
@@ -185,18 +185,18 @@
            mayRetry(*found, state_.settings, now) && endpoint->entry.startedAt == found->target.startedAt;
 }
 
-void EndpointSelectionEngine::on(const ConnectionResumed& event, Step step) {
+void EndpointSelectionEngine::on(const ConnectionResumed& event, EventContext eventContext) {
     Request& request = state_.requests.findOrAdd(event.request.request);
-    initialise(request, event.request, step.now);
+    initialise(request, event.request, eventContext.now);
     request.attempts = 1;
     request.target.id = event.endpoint;
     request.connected = true;
-    state_.newNodeUntil = step.now;
+    state_.newNodeUntil = eventContext.now;
     state_.endpoints.findOrAdd(event.endpoint);
-    countConnectionIn(state_, request);
+    addToConnectionCounts(state_, request);
 }
 
-void EndpointSelectionEngine::on(const ConnectionEstablished& event, Step /*step*/) {
+void EndpointSelectionEngine::on(const ConnectionEstablished& event, EventContext /*eventContext*/) {
     Request* request = state_.requests.find(event.request);
     if (request == nullptr) return;
     request->attemptOutstanding = false;
@@ -209,53 +209,54 @@
     state_.setupTimes.learnSetupSlowdown(*endpoint, event.elapsed);
 }
 
-void EndpointSelectionEngine::on(const ConnectionLoadMeasured& event, Step /*step*/) {
+void EndpointSelectionEngine::on(const ConnectionLoadMeasured& event, EventContext /*eventContext*/) {
     Request* request = state_.requests.find(event.request);
     if (request == nullptr || !(event.load >= 0.0)) return;
     if (Endpoint* endpoint = state_.endpoints.find(request->target.id))
-        endpoint->ownLoad = std::max(0.0, endpoint->ownLoad + event.load - request->load);
+        endpoint->loadFromThisNode = std::max(0.0, endpoint->loadFromThisNode + event.load - request->load);
     request->load = event.load;
     state_.loads.recordMeasurement(request->arrival.requestClass, event.load);
 }
 
-void EndpointSelectionEngine::on(const MessageDelayMeasured& event, Step step) {
+void EndpointSelectionEngine::on(const MessageDelayMeasured& event, EventContext eventContext) {
     const Request* request = state_.requests.find(event.request);
     Endpoint* endpoint = state_.endpoints.find(event.endpoint);
     if (request == nullptr || endpoint == nullptr) return;
-    recordMessageDelay(*endpoint, event.messageMs, request->requestClass.messageLatencyObjective, step.now);
+    recordMessageDelay(*endpoint, event.delayMs, request->requestClass.messageLatencyObjective,
+                       eventContext.now);
 }
 
-void EndpointSelectionEngine::on(const AttemptEnded& event, Step step) {
+void EndpointSelectionEngine::on(const AttemptEnded& event, EventContext eventContext) {
     Endpoint* endpoint = state_.endpoints.find(event.endpoint);
-    if (endpoint != nullptr && event.report) takeLoadReport(state_, *endpoint, *event.report, step);
+    if (endpoint != nullptr && event.report) applyLoadReport(state_, *endpoint, *event.report, eventContext);
     Request* request = state_.requests.find(event.request);  // null if the report caused its migration
     if (request == nullptr) return;
     if (endpoint != nullptr && event.outcome == Outcome::Ok) recordSuccess(*endpoint);
     if (endpoint != nullptr && isEndpointFailure(event.outcome)) {
-        scheduleConfirmation(*endpoint, step.now);
+        scheduleConfirmation(*endpoint, eventContext.now);
         recordFailure(*endpoint);
     }
-    countConnectionOut(state_, *request);
+    removeFromConnectionCounts(state_, *request);
     request->attemptOutstanding = false;
     if (event.requestEnded) return state_.requests.erase(event.request);
     request->connected = false;
     state_.requests.markUnconnected(event.request);
-    setRequestTimer(state_, step);
+    setRequestTimer(state_, eventContext);
     if (mayHaveExecuted(event.outcome) && !request->mayHaveExecuted) {
         request->mayHaveExecuted = true;
         request->firstExecutionSentAt = request->sentAt;
         request->firstExecution = request->target;
     }
     request->triedEndpoints.push_back(event.endpoint);
-    if (!mayRetry(*request, state_.settings, step.now))
-        return finishRequest(state_, event.request, *request, step);
-    placeRequest(state_, event.request, *request, step);
+    if (!mayRetry(*request, state_.settings, eventContext.now))
+        return finishRequest(state_, event.request, *request, eventContext);
+    placeRequest(state_, event.request, *request, eventContext);
 }
 
-void EndpointSelectionEngine::on(const ClientDisconnected& event, Step /*step*/) {
+void EndpointSelectionEngine::on(const ClientDisconnected& event, EventContext /*eventContext*/) {
     const Request* request = state_.requests.find(event.request);
     if (request == nullptr) return;
-    if (request->attemptOutstanding || request->connected) countConnectionOut(state_, *request);
+    if (request->attemptOutstanding || request->connected) removeFromConnectionCounts(state_, *request);
     state_.requests.erase(event.request);
 }
 
--- a/src/decision/endpoint_supervision.hpp
+++ b/src/decision/endpoint_supervision.hpp
@@ -8,15 +8,16 @@
 
 namespace ivyreel {
 
-void startDueHealthChecks(DecisionState& state, Step step);
+void startDueHealthChecks(DecisionState& state, EventContext eventContext);
 // Precondition: no health check of the endpoint is outstanding.
-void startHealthCheck(DecisionState& state, Endpoint& endpoint, Step step);
+void startHealthCheck(DecisionState& state, Endpoint& endpoint, EventContext eventContext);
 
 // Updates the endpoint and all estimates from a load report, and migrates connections off the endpoint if it
 // is overloaded. Migration erases the migrated requests from the request table.
-void takeLoadReport(DecisionState& state, Endpoint& endpoint, const LoadReport& report, Step step);
+void applyLoadReport(DecisionState& state, Endpoint& endpoint, const LoadReport& report,
+                     EventContext eventContext);
 
 // Migrates connections off unresponsive and draining endpoints; runs in each pass of the endpoint timer.
-void evacuateEndpoints(DecisionState& state, Step step);
+void evacuateEndpoints(DecisionState& state, EventContext eventContext);
 
 }  // namespace ivyreel
--- a/src/decision/endpoint_table.cpp
+++ b/src/decision/endpoint_table.cpp
@@ -13,7 +13,7 @@
 double meanSize(const std::vector<Endpoint>& endpoints) {
     double mean = 0.0;
     for (const Endpoint& endpoint : endpoints)
-        mean += std::max(0.0, endpoint.entry.capacityUnits) / static_cast<double>(endpoints.size());
+        mean += std::max(0.0, endpoint.entry.listedCapacity) / static_cast<double>(endpoints.size());
     return mean;
 }
 
@@ -27,8 +27,9 @@
     }
     for (const EndpointEntry& entry : list.endpoints)
         update(entry, now, nodeStartedAt);
-    std::erase_if(endpoints_,
-                  [](const Endpoint& endpoint) { return !endpoint.listed && endpoint.ownConnections == 0; });
+    std::erase_if(endpoints_, [](const Endpoint& endpoint) {
+        return !endpoint.listed && endpoint.connectionsFromThisNode == 0;
+    });
     const bool listsSizes = weightKind == WeightKind::Nominal || weightKind == WeightKind::Rough;
     meanListedSize_ = listsSizes ? meanSize(endpoints_) : 0.0;
 }
@@ -39,11 +40,11 @@
     if (isNew || endpoint.entry.startedAt != entry.startedAt) {
         // A new process under the same id: the learned state of the old process is discarded.
         Endpoint restarted;
-        restarted.ownLoad = endpoint.ownLoad;
-        restarted.ownConnections = endpoint.ownConnections;
+        restarted.loadFromThisNode = endpoint.loadFromThisNode;
+        restarted.connectionsFromThisNode = endpoint.connectionsFromThisNode;
         // A start time in the future does not postpone the warm-up.
         restarted.warmingUpSince = std::min(entry.startedAt, now);
-        restarted.slowStartTurnsFrom = std::max(restarted.warmingUpSince, nodeStartedAt);
+        restarted.slowStartSlotsUsedUntil = std::max(restarted.warmingUpSince, nodeStartedAt);
         endpoint = std::move(restarted);
     }
     endpoint.entry = entry;
@@ -74,7 +75,7 @@
     if (banned) banned_.insert(id);
 }
 
-std::size_t EndpointTable::avoidedCount() const {
+std::size_t EndpointTable::excludedCount() const {
     return static_cast<std::size_t>(
         std::count_if(endpoints_.begin(), endpoints_.end(), [this](const Endpoint& endpoint) {
             return endpoint.listed && (isBanned(endpoint) || isUnhealthy(endpoint));
--- a/src/decision/endpoint_table.hpp
+++ b/src/decision/endpoint_table.hpp
@@ -17,7 +17,7 @@
 
 class EndpointTable {
   public:
-    // Applies an update of any kind but Failed. `nodeStartedAt` is the start of this node: slow-start turns
+    // Applies an update of any kind but Failed. `nodeStartedAt` is the start of this node: slow-start slots
     // from before this time count as used.
     void apply(const EndpointListChanged& list, WeightKind weightKind, Time now, Time nodeStartedAt);
 
@@ -39,14 +39,14 @@
     // Whether the endpoint is ready and healthy.
     bool isUsable(const Endpoint& endpoint) const { return isReady(endpoint) && !isUnhealthy(endpoint); }
     // The number of listed endpoints that are banned or unhealthy.
-    std::size_t avoidedCount() const;
+    std::size_t excludedCount() const;
 
     // The mean listed size of an endpoint, in capacity units; 0 if the list states no sizes.
     double meanListedSize() const { return meanListedSize_; }
     // The endpoint's listed size over the mean; 1 if the list states no valid size.
     double relativeSize(const Endpoint& endpoint) const {
-        return meanListedSize_ > 0.0 && endpoint.entry.capacityUnits > 0.0
-                   ? endpoint.entry.capacityUnits / meanListedSize_
+        return meanListedSize_ > 0.0 && endpoint.entry.listedCapacity > 0.0
+                   ? endpoint.entry.listedCapacity / meanListedSize_
                    : 1.0;
     }
 
--- a/src/decision/events.hpp
+++ b/src/decision/events.hpp
@@ -26,7 +26,7 @@
     ZoneIndex zone{};
     KindIndex kind{};
     CellId cell{};
-    double capacityUnits = 1.0;  // Settings::weightKind defines the unit
+    double listedCapacity = 1.0;  // Settings::weightKind defines the unit
     Availability availability = Availability::Ready;
     Time startedAt{0};  // start of its process; 0: unknown, long ago
 };
@@ -56,11 +56,11 @@
     RequestClassIndex requestClass{};
     TenantIndex tenant{};
     GroupId group{};
-    FlowKey key{};
+    FlowKey flowKey{};
     std::optional<double> loadHint;  // microseconds of work per second
     Micros clientTimeout{0};
-    bool midFlow = false;       // packets of a connection that another node handled before
-    bool reconnecting = false;  // an earlier connection of the client was migrated or lost
+    bool continuesFlow = false;  // packets of a connection that another node handled before
+    bool reconnecting = false;   // an earlier connection of the client was migrated or lost
 };
 
 // A connection that was already open when this node started.
@@ -85,7 +85,7 @@
 struct MessageDelayMeasured {
     RequestId request{};
     EndpointId endpoint{};
-    double messageMs = 0.0;  // delay of a message, milliseconds
+    double delayMs = 0.0;  // delay of a message, milliseconds
 };
 
 // An attempt failed, or an established connection ended.
--- a/src/decision/fleet_capacity_estimate.cpp
+++ b/src/decision/fleet_capacity_estimate.cpp
@@ -21,7 +21,8 @@
     const double decay = std::exp(-spanSeconds / seconds(kPoolingTime));
     workSeconds_ = workSeconds_ * decay + sample.work * spanSeconds;
     loadSeconds_ = loadSeconds_ * decay + sample.loadOverCapacity * spanSeconds;
-    connectionSeconds_ = connectionSeconds_ * decay + std::max(sample.ownConnections, 0) * spanSeconds;
+    connectionSeconds_ =
+        connectionSeconds_ * decay + std::max(sample.connectionsFromThisNode, 0) * spanSeconds;
 }
 
 double FleetCapacityEstimate::typicalCapacity(double defaultCapacity, double meanListedSize) const {
--- a/src/decision/fleet_capacity_estimate.hpp
+++ b/src/decision/fleet_capacity_estimate.hpp
@@ -17,7 +17,7 @@
 struct FleetLoadSample {
     double work = 0.0;              // of all nodes' connections, microseconds of work per second
     double loadOverCapacity = 0.0;  // sum of the reported values
-    int ownConnections = 0;
+    int connectionsFromThisNode = 0;
 };
 
 class FleetCapacityEstimate {
--- a/src/decision/fleet_snapshot.cpp
+++ b/src/decision/fleet_snapshot.cpp
@@ -20,11 +20,11 @@
     double utilisation = 0.0;
     double load = 0.0;  // reported load over capacity
     double spareUtilisation = 0.0;
-    double departedLoad = 0.0;
-    double ownLoad = 0.0;         // included in reports, fresh or not
-    double ownLoadOfFresh = 0.0;  // included in fresh reports
+    double loadFromOtherNodes = 0.0;
+    double loadFromThisNode = 0.0;  // included in reports, fresh or not
+    double ownLoadOfFresh = 0.0;    // included in fresh reports
     double activeRequests = 0.0;
-    int ownConnections = 0;
+    int connectionsFromThisNode = 0;
     int freshReports = 0;
     int usableWithoutFreshReport = 0;
     int recentSends = 0;
@@ -33,15 +33,15 @@
 void addRecentSends(FleetTotals& totals, const Endpoint& endpoint, const DecisionContext& context) {
     for (const RecentSend& send : endpoint.recentSends) {
         if (send.fromAnotherNode)
-            totals.departedLoad += send.load / static_cast<double>(context.endpoints.size());
+            totals.loadFromOtherNodes += send.load / static_cast<double>(context.endpoints.size());
         else if (send.sentAt > context.now - kRecentSendWindow)
             ++totals.recentSends;
     }
 }
 
 void addEndpoint(FleetTotals& totals, const Endpoint& endpoint, const DecisionContext& context) {
-    const double ownLoad = reportedOwnLoad(endpoint);
-    totals.ownLoad += ownLoad;
+    const double loadFromThisNode = reportedLoadFromThisNode(endpoint);
+    totals.loadFromThisNode += loadFromThisNode;
     const bool usable = context.endpoints.isUsable(endpoint);
     if (!hasFreshReport(endpoint, context.now)) {
         totals.usableWithoutFreshReport += usable ? 1 : 0;
@@ -51,9 +51,10 @@
         totals.spareUtilisation += spareUtilisation(endpoint.utilisation, context.saturationThreshold) *
                                    effectiveCapacity(endpoint, context.settings, context.now);
     totals.utilisation += endpoint.utilisation;
-    totals.load += endpoint.load;
-    totals.ownLoadOfFresh += ownLoad;
-    totals.ownConnections += endpoint.ownConnections - static_cast<int>(endpoint.recentSends.size());
+    totals.load += endpoint.loadOverCapacity;
+    totals.ownLoadOfFresh += loadFromThisNode;
+    totals.connectionsFromThisNode +=
+        endpoint.connectionsFromThisNode - static_cast<int>(endpoint.recentSends.size());
     totals.activeRequests += endpoint.activeRequests;
     ++totals.freshReports;
 }
@@ -72,15 +73,16 @@
 // the endpoints report. Where these are not reported, each other node is assumed to have as much work as this
 // one.
 double workOfAllNodes(const FleetTotals& totals, std::uint32_t nodes) {
-    if (totals.activeRequests > 0 && totals.ownConnections > 0)
-        return totals.activeRequests * totals.ownLoadOfFresh / totals.ownConnections;
-    return totals.ownLoad * nodes * totals.freshReports /
+    if (totals.activeRequests > 0 && totals.connectionsFromThisNode > 0)
+        return totals.activeRequests * totals.ownLoadOfFresh / totals.connectionsFromThisNode;
+    return totals.loadFromThisNode * nodes * totals.freshReports /
            std::max(totals.freshReports + totals.usableWithoutFreshReport, 1);
 }
 
 }  // namespace
 
-const FleetSnapshot& FleetMonitor::refresh(const DecisionContext& context, const ArrivalRate& arrivals) {
+const FleetSnapshot& FleetSnapshotCache::refresh(const DecisionContext& context,
+                                                 const ArrivalRate& arrivals) {
     if (!outdated_ && computedAt_ == context.now) return snapshot_;
     outdated_ = false;
     const Micros elapsed = context.now - std::exchange(computedAt_, context.now);
@@ -88,25 +90,25 @@
     const FleetTotals totals = computeTotals(context);
     snapshot_.sendRate = sendRate_.measure(context.now, arrivals.perSecond(context.now));
     snapshot_.recentSendCount = totals.recentSends;
-    snapshot_.departedLoad = totals.departedLoad;
+    snapshot_.loadFromOtherNodes = totals.loadFromOtherNodes;
     snapshot_.meanUtilisation =
         totals.freshReports > 0 ? totals.utilisation / totals.freshReports : kUnknownUtilisation;
     snapshot_.spareUtilisation = totals.spareUtilisation;
     snapshot_.spareUtilisation += totals.usableWithoutFreshReport *
                                   spareUtilisation(snapshot_.meanUtilisation, context.saturationThreshold);
     const double work = workOfAllNodes(totals, context.settings.nodes);
-    capacity_.add({work, totals.load, totals.ownConnections}, span);
+    capacity_.add({work, totals.load, totals.connectionsFromThisNode}, span);
     snapshot_.capacityPerLoad =
         1.0 / capacity_.typicalCapacity(kDefaultCapacity, context.endpoints.meanListedSize());
     return snapshot_;
 }
 
-void FleetMonitor::recordSend(const RecentSend& send) {
+void FleetSnapshotCache::recordSend(const RecentSend& send) {
     if (!send.fromAnotherNode) sendRate_.recordSend(send);
     outdated_ = true;
 }
 
-void FleetMonitor::restore(const LearnedFleetState& learned) {
+void FleetSnapshotCache::restore(const LearnedFleetState& learned) {
     capacity_.restore(learned);
     outdated_ = true;
 }
--- a/src/decision/fleet_snapshot.hpp
+++ b/src/decision/fleet_snapshot.hpp
@@ -12,20 +12,20 @@
 
 namespace ivyreel {
 
-// Per cent; the draft's value for an unknown utilisation (9.1.2).
+// Per cent; the value of draft-rosenberg-dispatch-cloudsip for an unknown utilisation (9.1.2).
 inline constexpr double kUnknownUtilisation = 50.0;
 
 // Loads are in microseconds of work per second, utilisations in per cent.
 struct FleetSnapshot {
     double meanUtilisation = kUnknownUtilisation;  // mean of the fresh reports
-    double spareUtilisation = 0.0;  // of all usable endpoints, weighted by their effective capacity
-    double departedLoad = 0.0;      // per endpoint, of clients that came from other nodes since its report
-    double sendRate = 0.0;          // load that this node sends per second
-    int recentSendCount = 0;        // number of this node's sends in the last seconds
+    double spareUtilisation = 0.0;    // of all usable endpoints, weighted by their effective capacity
+    double loadFromOtherNodes = 0.0;  // per endpoint, of clients that came from other nodes since its report
+    double sendRate = 0.0;            // load that this node sends per second
+    int recentSendCount = 0;          // number of this node's sends in the last seconds
     double capacityPerLoad = 1.0 / kDefaultCapacity;  // share of a typical capacity per unit of load
 };
 
-class FleetMonitor {
+class FleetSnapshotCache {
   public:
     // Returns the snapshot that was computed last.
     const FleetSnapshot& snapshot() const { return snapshot_; }
--- a/src/decision/health_check_schedule.cpp
+++ b/src/decision/health_check_schedule.cpp
@@ -10,7 +10,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kMinInterval = 1s;        // a load report changes at most once a second (draft, 9.2.1)
+// A load report changes at most once a second (draft-rosenberg-dispatch-cloudsip, 9.2.1).
+constexpr Micros kMinInterval = 1s;
 constexpr Micros kMaxInterval = 4500ms;    // even a late answer arrives before the last report is 5 s old
 constexpr double kChecksPerRequest = 4.0;  // maximum of periodic checks of all endpoints per request
 constexpr Micros kConfirmationInterval = 250ms;  // the draft's health check interval (9.1.1)
@@ -47,7 +48,7 @@
     if (!endpoint.listed || check.outstanding) return false;
     if (now >= check.extraCheckAt) return true;
     const bool isPeriodic =
-        periodicInterval || endpoint.ownConnections > 0 || endpoint.healthCheckFailures > 0;
+        periodicInterval || endpoint.connectionsFromThisNode > 0 || endpoint.healthCheckFailures > 0;
     if (!isPeriodic) return false;
     const Time dueAt =
         check.startedAt + scaled(periodicInterval.value_or(kMaxInterval), check.intervalFactor);
--- a/src/decision/health_check_schedule.hpp
+++ b/src/decision/health_check_schedule.hpp
@@ -33,8 +33,9 @@
 void recordHealthCheckStart(Endpoint& endpoint, Time now, SplitMix64& random);
 
 // Departure, confirmation: an endpoint that failed an attempt or a health check, or answered one late, is
-// checked again after the draft's health check interval, until a check succeeds or the endpoint is certainly
-// unhealthy. This prevents connections from waiting on a broken link or on a dead or slow endpoint.
+// checked again after the health check interval of draft-rosenberg-dispatch-cloudsip, until a check succeeds
+// or the endpoint is certainly unhealthy. This prevents connections from waiting on a broken link or on a
+// dead or slow endpoint.
 void scheduleConfirmation(Endpoint& endpoint, Time now);
 
 // Departure, immediate check: an endpoint whose messages miss their latency objective is checked at once,
--- a/src/decision/kind_capacity.cpp
+++ b/src/decision/kind_capacity.cpp
@@ -15,7 +15,7 @@
 void KindCapacityEstimate::recordReport(const Endpoint& endpoint, double relativeSize) {
     Sums& sums = sums_[endpoint.entry.kind];
     sums.connections += endpoint.activeRequests - sums.connections * kReportWeight;
-    sums.load += endpoint.load * relativeSize - sums.load * kReportWeight;
+    sums.load += endpoint.loadOverCapacity * relativeSize - sums.load * kReportWeight;
 }
 
 double KindCapacityEstimate::connectionsAtCapacity(KindIndex kind, double relativeSize,
--- a/src/decision/learned_state.hpp
+++ b/src/decision/learned_state.hpp
@@ -12,19 +12,19 @@
     // From load reports.
     bool reported = false;
     Time reportedAt{0};
-    int utilisation = 0;           // per cent, 0 to 100
-    double load = 0.0;             // load over capacity, not clamped to 1
-    double activeRequests = 0.0;   // of all nodes, as reported by the endpoint
-    double slowdown = 1.0;         // reported load over that of a typical endpoint with the same connections
-    double setupSlowdown = 1.0;    // connection set-up time over the typical one
-    double roundTripMicros = 0.0;  // mean of the health checks
+    int utilisation = 0;            // per cent, 0 to 100
+    double loadOverCapacity = 0.0;  // as reported, not clamped to 1
+    double activeRequests = 0.0;    // of all nodes, as reported by the endpoint
+    double slowdown = 1.0;          // reported load over that of a typical endpoint with the same connections
+    double setupSlowdown = 1.0;     // connection set-up time over the typical one
+    double roundTripMicros = 0.0;   // mean of the health checks
     // From health checks and attempts.
     int healthCheckFailures = 0;  // consecutive
     double successRate = 1.0;     // of recent attempts
     Time lastLateMessageAt{Time::min() / 2};
     // Times that limit slow start and migration.
-    Time slowStartTurnsFrom{0};  // slow-start turns from before this time count as used
-    Time nextMigrationAt{0};     // overload relief of this endpoint starts no earlier
+    Time slowStartSlotsUsedUntil{0};  // slow-start slots from before this time count as used
+    Time nextMigrationAt{0};          // overload relief of this endpoint starts no earlier
 };
 
 struct LearnedFleetState {
@@ -34,7 +34,7 @@
     double loadSeconds = 0.0;               // load over capacity that the endpoints report
     double connectionSeconds = 0.0;         // this node's connections
     double arrivalRate = 0.0;               // of this node's requests, per second
-    double setupMicros = 0.0;               // mean time to set up a connection
+    double meanSetupMicros = 0.0;           // mean time to set up a connection
     double typicalSetupMicros = 0.0;        // typical time to set up a connection, without the round trips
     double typicalLoad = 40'000;            // of one connection, microseconds of work per second
     std::vector<double> meanLoadByClass{};  // of one connection, microseconds of work per second
--- a/src/decision/load_polling.cpp
+++ b/src/decision/load_polling.cpp
@@ -20,7 +20,7 @@
     return !check.outstanding || now < check.startedAt + kAnswerTimeout;
 }
 
-void recordPoll(Request& request, const Endpoint& endpoint, Time now) {
+void recordLoadPoll(Request& request, const Endpoint& endpoint, Time now) {
     request.polledEndpoints.push_back(endpoint.entry.id);
     request.polledAt = now;
 }
--- a/src/decision/load_polling.hpp
+++ b/src/decision/load_polling.hpp
@@ -14,7 +14,8 @@
 
 // Whether the endpoint's load is known so well that a poll would not improve it.
 inline bool isLoadKnown(const Endpoint& endpoint, const Settings& settings, Time now) {
-    constexpr Micros kMaxReportAge = std::chrono::seconds(2);  // two of the draft's report intervals
+    // Two of the report intervals of draft-rosenberg-dispatch-cloudsip.
+    constexpr Micros kMaxReportAge = std::chrono::seconds(2);
     const bool pollable = settings.limits.healthChecks && settings.loadReportMode != LoadReportMode::None;
     return !pollable || (endpoint.reported && now - endpoint.reportedAt < kMaxReportAge);
 }
@@ -30,6 +31,6 @@
 
 // Records that the request waits for the endpoint's answer from now on. The health check may have been
 // started for another reason.
-void recordPoll(Request& request, const Endpoint& endpoint, Time now);
+void recordLoadPoll(Request& request, const Endpoint& endpoint, Time now);
 
 }  // namespace ivyreel
--- a/src/decision/load_report_handling.cpp
+++ b/src/decision/load_report_handling.cpp
@@ -11,9 +11,9 @@
     const std::optional<double> load =
         report.loadOverCapacity ? report.loadOverCapacity : report.cpuUtilisation;
     if (!load) return false;
-    endpoint.load = std::max(0.0, *load);
-    endpoint.utilisation =
-        static_cast<int>(std::lround(std::min(endpoint.load * kFullUtilisation, kFullUtilisation)));
+    endpoint.loadOverCapacity = std::max(0.0, *load);
+    endpoint.utilisation = static_cast<int>(
+        std::lround(std::min(endpoint.loadOverCapacity * kFullUtilisation, kFullUtilisation)));
     endpoint.reported = true;
     endpoint.reportedAt = now;
     const Time shownBefore = now - kReportLag;
--- a/src/decision/migration.cpp
+++ b/src/decision/migration.cpp
@@ -35,7 +35,8 @@
         ++usable;
         if (!hasFreshReport(other, context.now)) continue;
         ++fresh;
-        spare += std::max(0.0, target - other.load) * effectiveCapacity(other, context.settings, context.now);
+        spare += std::max(0.0, target - other.loadOverCapacity) *
+                 effectiveCapacity(other, context.settings, context.now);
     }
     if (fresh > 0) spare *= static_cast<double>(usable) / fresh;
     return spare;
@@ -71,13 +72,16 @@
 std::optional<double> overloadRelief(const Endpoint& endpoint, const DecisionContext& context,
                                      const FleetSnapshot& fleet) {
     const SaturationThreshold& threshold = context.saturationThreshold;
-    if (endpoint.load <= threshold.withTolerance() || context.now < endpoint.nextMigrationAt) return {};
-    if (endpoint.ownConnections == 0) return {};
+    if (endpoint.loadOverCapacity <= threshold.withTolerance() || context.now < endpoint.nextMigrationAt)
+        return {};
+    if (endpoint.connectionsFromThisNode == 0) return {};
     const double spare = spareCapacityOfOthers(endpoint, context);
     const bool slow = isSlow(endpoint, context.settings.groupAffinity);
     const double target = slow ? threshold.value() * kSlowTargetShare : threshold.value() - kReliefMargin;
-    const double desired = endpoint.ownLoad * (endpoint.load - target) / endpoint.load;
-    const double minimum = endpoint.ownLoad * (endpoint.load - threshold.value()) / endpoint.load;
+    const double desired =
+        endpoint.loadFromThisNode * (endpoint.loadOverCapacity - target) / endpoint.loadOverCapacity;
+    const double minimum = endpoint.loadFromThisNode * (endpoint.loadOverCapacity - threshold.value()) /
+                           endpoint.loadOverCapacity;
     const double ownShareOfSpare =
         spare / fleet.capacityPerLoad / static_cast<double>(context.settings.nodes);
     return std::max(minimum, std::min(desired, ownShareOfSpare));
@@ -93,11 +97,12 @@
       canDrain_(canMigrate_ && hasCapacityToDrain(context, fleet)) {}
 
 std::optional<double> Evacuation::loadToMigrate(const Endpoint& endpoint) const {
-    if (!canMigrate_ || !endpoint.listed || endpoint.ownConnections == 0) return {};
+    if (!canMigrate_ || !endpoint.listed || endpoint.connectionsFromThisNode == 0) return {};
     if (endpoint.healthCheck.consecutiveUnanswered > kMaxUnansweredHealthChecks)
-        return endpoint.ownLoad * kEvacuatedShare;
+        return endpoint.loadFromThisNode * kEvacuatedShare;
     if (!isDraining(endpoint) || !canDrain_) return {};
-    return endpoint.ownLoad * seconds(endpointTimerInterval(context_.settings)) / seconds(kSettleTime);
+    return endpoint.loadFromThisNode * seconds(endpointTimerInterval(context_.settings)) /
+           seconds(kSettleTime);
 }
 
 std::vector<RequestId> connectionsToMigrate(const RequestTable& requests, EndpointId endpoint, double load,
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -35,15 +35,15 @@
 
 void learnSlowdown(Endpoint& endpoint, double capacityPerLoad, double warmUpShare, std::uint32_t nodes) {
     const double reportedConnections =
-        endpoint.ownConnections - static_cast<double>(endpoint.recentSends.size());
+        endpoint.connectionsFromThisNode - static_cast<double>(endpoint.recentSends.size());
     if (reportedConnections <= 0) return;
-    const double own = reportedOwnLoad(endpoint);
+    const double own = reportedLoadFromThisNode(endpoint);
     // Without a reported number of requests, each other node is assumed to have as much load there as this
     // one.
     const double all =
         endpoint.activeRequests > 0 ? endpoint.activeRequests * own / reportedConnections : own * nodes;
     const double expected = all * capacityPerLoad / warmUpShare;
-    const double ratio = (endpoint.load + kNegligibleLoad) / (expected + kNegligibleLoad);
+    const double ratio = (endpoint.loadOverCapacity + kNegligibleLoad) / (expected + kNegligibleLoad);
     endpoint.slowdown += (std::clamp(ratio, 1.0, kMaxSlowdown) - endpoint.slowdown) * kSlowdownWeight;
 }
 
@@ -62,12 +62,12 @@
 }
 
 void SetupTimeEstimate::store(LearnedFleetState& learned) const {
-    learned.setupMicros = meanMicros_;
+    learned.meanSetupMicros = meanMicros_;
     learned.typicalSetupMicros = typicalMicros_;
 }
 
 void SetupTimeEstimate::restore(const LearnedFleetState& learned) {
-    meanMicros_ = learned.setupMicros;
+    meanMicros_ = learned.meanSetupMicros;
     typicalMicros_ = learned.typicalSetupMicros;
 }
 
--- a/src/decision/request_placement.cpp
+++ b/src/decision/request_placement.cpp
@@ -25,39 +25,41 @@
     return WeightedSelection(context, fleet, slowStart, state.groups, state.arrivals).select(request);
 }
 
-void pollLoad(DecisionState& state, Request& request, EndpointId id, Step step) {
+void pollLoad(DecisionState& state, Request& request, EndpointId id, EventContext eventContext) {
     Endpoint& endpoint = *state.endpoints.find(id);
     if (wasPolledFor(request, endpoint)) return;
-    if (!endpoint.healthCheck.outstanding) startHealthCheck(state, endpoint, step);
-    recordPoll(request, endpoint, step.now);
+    if (!endpoint.healthCheck.outstanding) startHealthCheck(state, endpoint, eventContext);
+    recordLoadPoll(request, endpoint, eventContext.now);
 }
 
 // Keeps the request waiting while an endpoint may become usable again or get spare capacity. Rejects it, if
 // it may be rejected, before its latency objective has passed.
-void waitOrFinish(DecisionState& state, RequestId id, Request& request, Step step) {
+void waitOrFinish(DecisionState& state, RequestId id, Request& request, EventContext eventContext) {
     const Micros maxWait = scaled(request.requestClass.latencyObjective, kMaxWaitShare);
-    const bool maxWaitReached = step.now >= request.arrivedAt + maxWait;
-    const bool retryImpossible = !mayRetry(request, state.settings, step.now);
-    if (retryImpossible || (maxWaitReached && mayReject(request))) finishRequest(state, id, request, step);
+    const bool maxWaitReached = eventContext.now >= request.arrivedAt + maxWait;
+    const bool retryImpossible = !mayRetry(request, state.settings, eventContext.now);
+    if (retryImpossible || (maxWaitReached && mayReject(request)))
+        finishRequest(state, id, request, eventContext);
 }
 
-void startAttempt(DecisionState& state, RequestId id, Request& request, Endpoint& endpoint, Step step) {
+void startAttempt(DecisionState& state, RequestId id, Request& request, Endpoint& endpoint,
+                  EventContext eventContext) {
     request.target = endpoint.entry;
-    request.sentAt = step.now;
+    request.sentAt = eventContext.now;
     request.attemptOutstanding = true;
     ++request.attempts;
     // Departure, a new node: a client that reconnects to a node which started without inherited connections
     // had its connection at another node before, so its load is not new to the fleet. This prevents a node
     // that takes over the clients of a stopping node from estimating all endpoints as full.
-    const bool fromAnotherNode = request.arrival.reconnecting && step.now < state.newNodeUntil;
-    const RecentSend send{id, step.now, request.load, fromAnotherNode};
+    const bool fromAnotherNode = request.arrival.reconnecting && eventContext.now < state.newNodeUntil;
+    const RecentSend send{id, eventContext.now, request.load, fromAnotherNode};
     endpoint.recentSends.push_back(send);
     state.fleet.recordSend(send);
-    endpoint.slowStartTurnsFrom = step.now;  // slots that were due before are used up
-    countConnectionIn(state, request);
+    endpoint.slowStartSlotsUsedUntil = eventContext.now;  // slots that were due before are used up
+    addToConnectionCounts(state, request);
     const Micros timeout =
-        attemptTimeout(request, state.settings.limits, state.setupTimes.meanMicros(), step.now);
-    step.actions.emplace_back(StartAttempt{id, endpoint.entry.id, timeout});
+        attemptTimeout(request, state.settings.limits, state.setupTimes.meanMicros(), eventContext.now);
+    eventContext.actions.emplace_back(StartAttempt{id, endpoint.entry.id, timeout});
 }
 
 bool isReportAwaited(const DecisionState& state, const Request& request, Time now) {
@@ -67,62 +69,64 @@
 
 }  // namespace
 
-void placeRequest(DecisionState& state, RequestId id, Request& request, Step step) {
-    if (areAttemptsExhausted(request, state.settings.limits)) return finishRequest(state, id, request, step);
-    if (step.now >= finalAnswerDeadline(request, state.settings))
-        return finishRequest(state, id, request, step);
+void placeRequest(DecisionState& state, RequestId id, Request& request, EventContext eventContext) {
+    if (areAttemptsExhausted(request, state.settings.limits))
+        return finishRequest(state, id, request, eventContext);
+    if (eventContext.now >= finalAnswerDeadline(request, state.settings))
+        return finishRequest(state, id, request, eventContext);
     const bool fleetBusy = isFleetBusy(state.fleet.snapshot(), state.saturationThreshold);
     if (state.admission.shouldShed(request, state.settings, fleetBusy))
-        return finishRequest(state, id, request, step);
-    const std::optional<Selection> selection = select(state, request, step.now);
+        return finishRequest(state, id, request, eventContext);
+    const std::optional<Selection> selection = select(state, request, eventContext.now);
     request.waitsForReport = selection && selection->pollFirst;
-    if (!selection) return waitOrFinish(state, id, request, step);
+    if (!selection) return waitOrFinish(state, id, request, eventContext);
     if (selection->pollFirst) {
-        pollLoad(state, request, selection->endpoint, step);
-        return waitOrFinish(state, id, request, step);
+        pollLoad(state, request, selection->endpoint, eventContext);
+        return waitOrFinish(state, id, request, eventContext);
     }
-    startAttempt(state, id, request, *state.endpoints.find(selection->endpoint), step);
+    startAttempt(state, id, request, *state.endpoints.find(selection->endpoint), eventContext);
 }
 
-void retryWaitingRequests(DecisionState& state, RetryScope scope, Step step) {
+void retryWaitingRequests(DecisionState& state, RetryScope scope, EventContext eventContext) {
     for (const RequestId id : state.requests.unconnected()) {
         Request& request = *state.requests.find(id);
         if (request.attemptOutstanding) continue;
-        const bool retry =
-            request.waitsForReport ? !isReportAwaited(state, request, step.now) : scope == RetryScope::All;
-        if (retry) placeRequest(state, id, request, step);
+        const bool retry = request.waitsForReport ? !isReportAwaited(state, request, eventContext.now)
+                                                  : scope == RetryScope::All;
+        if (retry) placeRequest(state, id, request, eventContext);
     }
 }
 
-void finishExpiredRequests(DecisionState& state, Step step) {
+void finishExpiredRequests(DecisionState& state, EventContext eventContext) {
     for (const RequestId id : state.requests.unconnected()) {
         const Request& request = *state.requests.find(id);
-        if (step.now >= finalAnswerDeadline(request, state.settings)) finishRequest(state, id, request, step);
+        if (eventContext.now >= finalAnswerDeadline(request, state.settings))
+            finishRequest(state, id, request, eventContext);
     }
 }
 
-void finishRequest(DecisionState& state, RequestId id, const Request& request, Step step) {
+void finishRequest(DecisionState& state, RequestId id, const Request& request, EventContext eventContext) {
     const RequestLimits& limits = state.settings.limits;
     if (request.attemptOutstanding && limits.canCancelAttempts) {
         const AttemptIndex attempt{static_cast<std::uint8_t>(request.attempts - 1)};
-        step.actions.emplace_back(CancelAttempt{id, attempt});
+        eventContext.actions.emplace_back(CancelAttempt{id, attempt});
     }
     if (mayReject(request)) {
         const Micros retryAfter = limits.sendRetryAfter
                                       ? scaled(limits.maxRetryAfter, kMinRetryAfter + state.random.next() / 2)
                                       : Micros{0};
-        step.actions.emplace_back(RejectRequest{id, retryAfter});
+        eventContext.actions.emplace_back(RejectRequest{id, retryAfter});
     } else {
-        step.actions.emplace_back(FailRequest{id});
+        eventContext.actions.emplace_back(FailRequest{id});
     }
-    if (request.attemptOutstanding) countConnectionOut(state, request);
+    if (request.attemptOutstanding) removeFromConnectionCounts(state, request);
     state.requests.erase(id);
 }
 
-void setRequestTimer(DecisionState& state, Step step) {
+void setRequestTimer(DecisionState& state, EventContext eventContext) {
     if (state.requestTimerSet || !state.requests.hasUnconnected()) return;
     state.requestTimerSet = true;
-    step.actions.emplace_back(SetTimer{requestTimerInterval(state.settings), kRequestTimer});
+    eventContext.actions.emplace_back(SetTimer{requestTimerInterval(state.settings), kRequestTimer});
 }
 
 }  // namespace ivyreel
--- a/src/decision/request_placement.hpp
+++ b/src/decision/request_placement.hpp
@@ -16,15 +16,15 @@
 
 // Starts an attempt, keeps the request waiting, or gives its final answer. The final answer erases the
 // request, which invalidates the reference.
-void placeRequest(DecisionState& state, RequestId id, Request& request, Step step);
+void placeRequest(DecisionState& state, RequestId id, Request& request, EventContext eventContext);
 // Places the requests of the scope that have no attempt outstanding again.
-void retryWaitingRequests(DecisionState& state, RetryScope scope, Step step);
+void retryWaitingRequests(DecisionState& state, RetryScope scope, EventContext eventContext);
 // Gives the final answer to unconnected requests whose final-answer deadline has passed.
-void finishExpiredRequests(DecisionState& state, Step step);
+void finishExpiredRequests(DecisionState& state, EventContext eventContext);
 // Gives the final answer of this node and erases the request: a rejection if the request may be rejected, a
 // failure otherwise. Cancels an outstanding attempt. No other function gives final answers.
-void finishRequest(DecisionState& state, RequestId id, const Request& request, Step step);
+void finishRequest(DecisionState& state, RequestId id, const Request& request, EventContext eventContext);
 // Sets the request timer if it is needed and not set.
-void setRequestTimer(DecisionState& state, Step step);
+void setRequestTimer(DecisionState& state, EventContext eventContext);
 
 }  // namespace ivyreel
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -58,7 +58,7 @@
 }
 
 Time finalAnswerDeadline(const Request& request, const Settings& settings) {
-    return request.deadline - requestTimerInterval(settings) - settings.resolution;
+    return request.deadline - requestTimerInterval(settings) - settings.eventResolution;
 }
 
 Micros attemptTimeout(const Request& request, const RequestLimits& limits, double meanSetupMicros, Time now) {
--- a/src/decision/saturation_threshold.cpp
+++ b/src/decision/saturation_threshold.cpp
@@ -30,8 +30,8 @@
 }
 
 void SaturationThreshold::learn(const Endpoint& endpoint, Time now) {
-    if (endpoint.ownConnections == 0) return;
-    if (std::abs(endpoint.load - value_) > kRelevantDistance) return;
+    if (endpoint.connectionsFromThisNode == 0) return;
+    if (std::abs(endpoint.loadOverCapacity - value_) > kRelevantDistance) return;
     const bool late = now - endpoint.lastLateMessageAt < kLateMessageMemory;
     value_ = std::clamp(value_ + (late ? -kStepDown : kStepUp), kMin, kMax);
 }
--- a/src/decision/settings.hpp
+++ b/src/decision/settings.hpp
@@ -71,7 +71,7 @@
     std::optional<std::uint32_t> nodeIndex;  // empty: unknown
     std::uint32_t nodes = 1;                 // number of nodes in the fleet
     ZoneIndex zone{0};                       // of this node
-    Micros resolution{1'000};                // minimum time between two batches of events
+    Micros eventResolution{1'000};           // minimum time between two batches of events
     std::vector<RequestClassSettings> classes;
     std::vector<TenantSettings> tenants;
     double overQuotaPriorityWeight = 1.0;  // of requests whose tenant exceeds its quota
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -29,8 +29,9 @@
 
 // The position of this node in the round-robin order of slots at the endpoint, 1 to the number of nodes.
 double slotPosition(const Endpoint& endpoint, const Settings& settings, std::uint32_t stride) {
-    const std::uint64_t offset = mix(static_cast<std::uint64_t>(endpoint.entry.id)) >> 32U;
-    const std::uint64_t index = settings.nodeIndex.value_or(static_cast<std::uint32_t>(mix(settings.seed)));
+    const std::uint64_t offset = hash64(static_cast<std::uint64_t>(endpoint.entry.id)) >> 32U;
+    const std::uint64_t index =
+        settings.nodeIndex.value_or(static_cast<std::uint32_t>(hash64(settings.seed)));
     const std::uint64_t position = (index * stride + offset) % settings.nodes;
     return static_cast<double>(position) + 1.0;
 }
@@ -78,7 +79,7 @@
     const double perWindow = result.perSecond * seconds(limits.overloadWindow);
     result.open = kOpenSlotDeviations * std::sqrt(perWindow) + 1.0;
     const double dueNow = dueUntil(warmUpProgress(endpoint, limits, context_.now));
-    const double used = dueUntil(warmUpProgress(endpoint, limits, endpoint.slowStartTurnsFrom));
+    const double used = dueUntil(warmUpProgress(endpoint, limits, endpoint.slowStartSlotsUsedUntil));
     const double from = std::max(used, dueNow - result.open);
     result.own =
         std::floor((dueNow - position) / settings.nodes) - std::floor((from - position) / settings.nodes);
@@ -88,8 +89,8 @@
 bool SlowStart::admits(const Request& request, const Endpoint& endpoint) const {
     const SlowStartSlots available = slots(endpoint);
     const double slotsNeeded = std::max(1.0, request.arrival.loadHint.value_or(0.0) / loads_.typical());
-    const std::uint64_t hash = mix(static_cast<std::uint64_t>(endpoint.entry.id));
-    const double uniformSample = unitInterval(mix(request.randomNumber + hash));
+    const std::uint64_t hash = hash64(static_cast<std::uint64_t>(endpoint.entry.id));
+    const double uniformSample = unitInterval(hash64(request.randomNumber + hash));
     return slotsNeeded <= available.open + 1.0 && slotsNeeded * uniformSample < available.own;
 }
 
--- a/src/decision/timers.cpp
+++ b/src/decision/timers.cpp
@@ -13,11 +13,11 @@
 }  // namespace
 
 Micros endpointTimerInterval(const Settings& settings) {
-    return std::max(kEndpointTimerInterval, settings.resolution);
+    return std::max(kEndpointTimerInterval, settings.eventResolution);
 }
 
 Micros requestTimerInterval(const Settings& settings) {
-    return std::max(kRequestTimerInterval, settings.resolution);
+    return std::max(kRequestTimerInterval, settings.eventResolution);
 }
 
 }  // namespace ivyreel
--- a/src/decision/timers.hpp
+++ b/src/decision/timers.hpp
@@ -11,7 +11,7 @@
 // Runs a pass over the requests without a connection; set only while there are such requests.
 inline constexpr TimerToken kRequestTimer{1};
 
-// Both intervals are at least the resolution of the events (Settings::resolution).
+// Both intervals are at least the resolution of the events (Settings::eventResolution).
 Micros endpointTimerInterval(const Settings& settings);
 Micros requestTimerInterval(const Settings& settings);
 
--- a/src/decision/utilisation_estimate.cpp
+++ b/src/decision/utilisation_estimate.cpp
@@ -25,7 +25,7 @@
 
 double UtilisationEstimate::current(const Endpoint& endpoint, double capacity) const {
     const double sent = recentLoad(endpoint) + sentByOtherNodes(endpoint, capacity);
-    const double departed = kFullUtilisation * fleet_.departedLoad * fleet_.capacityPerLoad;
+    const double departed = kFullUtilisation * fleet_.loadFromOtherNodes * fleet_.capacityPerLoad;
     const double change = added(endpoint, sent, capacity) - departed;
     return std::clamp(reported(endpoint) + change, 0.0, kFullUtilisation);
 }
--- a/src/decision/weighted_selection.cpp
+++ b/src/decision/weighted_selection.cpp
@@ -23,7 +23,8 @@
 std::uint64_t selectionKey(const Request& request, const Settings& settings) {
     if (hasAffinity(request, settings)) return static_cast<std::uint64_t>(request.arrival.group);
     const bool anyNode = settings.forwardingMode == ForwardingMode::Passthrough;
-    if (anyNode && request.arrival.key != FlowKey{0}) return static_cast<std::uint64_t>(request.arrival.key);
+    if (anyNode && request.arrival.flowKey != FlowKey{0})
+        return static_cast<std::uint64_t>(request.arrival.flowKey);
     return request.randomNumber;
 }
 
@@ -80,7 +81,7 @@
 
 CandidateSet WeightedSelection::findCandidates(const Request& request, Eligibility eligibility) const {
     const bool concentratesGroup = fleetBusy_ && hasAffinity(request, context_.settings);
-    const std::uint64_t key = mix(selectionKey(request, context_.settings));
+    const std::uint64_t key = hash64(selectionKey(request, context_.settings));
     AffinityGroups::MemberCursor members = groups_.membersOf(request.arrival.group);
     CandidateSet result;
     result.candidates.reserve(context_.endpoints.size());
@@ -88,7 +89,7 @@
         if (!isEligible(endpoint, request, eligibility)) continue;
         const EndpointId id = endpoint.entry.id;
         const int groupMembers = concentratesGroup ? members.countAt(id) : 0;
-        const double uniformSample = unitInterval(mix(key ^ mix(static_cast<std::uint64_t>(id) + 1)));
+        const double uniformSample = unitInterval(hash64(key ^ hash64(static_cast<std::uint64_t>(id) + 1)));
         result.candidates.push_back({&endpoint, groupMembers, -std::log(uniformSample)});
     }
     setWeights(result, request);
--- a/src/health/health_checker.cpp
+++ b/src/health/health_checker.cpp
@@ -83,8 +83,8 @@
 // An endpoint sends nothing between checks, so a connection with input cannot be reused, and neither can one
 // that has ended.
 void HealthChecker::closeIfUnusable(Connection& connection) {
-    connection.fill();
-    if (connection.over() || !connection.in.empty()) connection = Connection{};
+    connection.receive();
+    if (connection.inputEnded() || !connection.input.empty()) connection = Connection{};
 }
 
 Task<HealthChecker::Result> HealthChecker::check(EndpointId id, CheckedEndpoint& endpoint) {
@@ -113,9 +113,9 @@
     ++metrics_.healthCheckConnections;
     const Time deadline = scheduler_.now() + tracker_.connectTimeout();
     for (;;) {
-        const Socket::Connecting state = endpoint.connection.socket.connecting();
-        if (state == Socket::Connecting::Done) co_return true;
-        if (state == Socket::Connecting::Failed || scheduler_.now() >= deadline) {
+        const Socket::ConnectState state = endpoint.connection.socket.connectState();
+        if (state == Socket::ConnectState::Done) co_return true;
+        if (state == Socket::ConnectState::Failed || scheduler_.now() >= deadline) {
             endpoint.connection = Connection{};
             co_return false;
         }
@@ -131,7 +131,7 @@
     std::size_t sent = 0;
     for (;;) {
         connection.send(query, sent);
-        connection.fill();
+        connection.receive();
         if (const auto result = readAnswer(connection)) co_return result;
         const bool deadlinePassed = scheduler_.now() >= deadline;
         if (const auto failure = failureOf(connection, deadlinePassed)) {
@@ -145,20 +145,20 @@
 
 // Returns none while the answer is incomplete. Closes the connection unless the connection can be reused.
 std::optional<HealthChecker::Result> HealthChecker::readAnswer(Connection& connection) {
-    const auto line = firstLine(connection.in.view());
+    const auto line = firstLine(connection.input.view());
     if (!line) return std::nullopt;
     const auto [word, rest] = firstWord(line->text);
     const Result result{outcomeOf(word), parseLoadReport(rest)};
-    connection.in.drop(line->bytes);
-    if (connection.over() || result.outcome != Outcome::Ok) connection = Connection{};
+    connection.input.consume(line->bytes);
+    if (connection.inputEnded() || result.outcome != Outcome::Ok) connection = Connection{};
     return result;
 }
 
 // Returns why no answer can arrive any more; none if an answer may still arrive.
 std::optional<Outcome> HealthChecker::failureOf(const Connection& connection, bool deadlinePassed) {
-    if (connection.over()) return Outcome::Reset;
+    if (connection.inputEnded()) return Outcome::Reset;
     if (deadlinePassed) return Outcome::Timeout;
-    if (exceedsMaxLineLength(connection.in.view())) return Outcome::Error;
+    if (exceedsMaxLineLength(connection.input.view())) return Outcome::Error;
     return std::nullopt;
 }
 
--- a/src/hot_restart/established_connection.hpp
+++ b/src/hot_restart/established_connection.hpp
@@ -15,14 +15,14 @@
 struct RelayState {
     std::string fromClient;
     std::string fromUpstream;
-    std::size_t toUpstream = 0;  // bytes at the front of fromClient that are complete lines
-    std::size_t toClient = 0;    // bytes at the front of fromUpstream that are complete lines
-    Time unanswered = kNever;    // arrival time of the oldest client line without a response
+    std::size_t completeClientBytes = 0;    // bytes at the front of fromClient that are complete lines
+    std::size_t completeUpstreamBytes = 0;  // bytes at the front of fromUpstream that are complete lines
+    Time unansweredSince = kNever;          // arrival time of the oldest client line without a response
 };
 
 // A client's connection to an endpoint, in the form that relay, handover and successor exchange.
 struct EstablishedConnection {
-    std::string opening;  // the client's first line
+    std::string openingLine;  // the client's first line
     EndpointId endpoint{};
     std::optional<double> load;  // microseconds of work per second
     RelayState relay;
@@ -41,10 +41,10 @@
     virtual ~Successor() = default;
 
     // Whether a successor is running and serves clients.
-    virtual bool serves() const = 0;
+    virtual bool isServing() const = 0;
     // Transfers a connection and its descriptors to the successor. Closes the descriptors if no successor
     // serves clients any more.
-    virtual void give(const EstablishedConnection& connection) = 0;
+    virtual void transferConnection(const EstablishedConnection& connection) = 0;
 };
 
 }  // namespace ivyreel
--- a/src/hot_restart/handover.cpp
+++ b/src/hot_restart/handover.cpp
@@ -50,7 +50,7 @@
     HandoverLink link;
     Peer peer;
     std::string adminAddress;             // of a successor's admin server
-    bool successorServes = false;         // the peer has sent its ServingNotice
+    bool successorIsServing = false;      // the peer has sent its ServingNotice
     std::size_t reportedDescriptors = 0;  // the last count that was sent to a successor
 };
 
@@ -111,7 +111,7 @@
     spdlog::info("hot restart: this node has handed over its state to the successor");
     co_await exchangeMessages(session);
     stateHandedOver_ = false;
-    if (session.successorServes) resumeServing(session);
+    if (session.successorIsServing) resumeServing(session);
     signal_.raise();
 }
 
@@ -141,7 +141,7 @@
 
 void Handover::resumeServing(const Session& session) {
     spdlog::warn("hot restart: the link to the successor is closed; this node resumes serving");
-    delegate_.successorServes(false, session.adminAddress);
+    delegate_.onSuccessorServing(false, session.adminAddress);
 }
 
 void Handover::reportDescriptors(Session& session) {
@@ -153,15 +153,15 @@
 
 Handover::Session* Handover::servingSuccessor() const {
     const auto found = std::find_if(sessions_.begin(), sessions_.end(),
-                                    [](const Session* session) { return session->successorServes; });
+                                    [](const Session* session) { return session->successorIsServing; });
     return found == sessions_.end() ? nullptr : *found;
 }
 
-bool Handover::serves() const {
+bool Handover::isServing() const {
     return servingSuccessor() != nullptr;
 }
 
-void Handover::give(const EstablishedConnection& connection) {
+void Handover::transferConnection(const EstablishedConnection& connection) {
     const std::vector<int> sockets{connection.clientSocket, connection.upstreamSocket};
     if (Session* successor = servingSuccessor())
         successor->send(encode(connection), sockets);
@@ -171,7 +171,7 @@
 
 // ---- as successor ----
 
-Task<void> Handover::follow(int descriptor) {
+Task<void> Handover::exchangeWithPredecessor(int descriptor) {
     Session session{*this, descriptor, Session::Peer::Predecessor};
     if (serving_) session.link.queue(encode(ServingNotice{}));  // serve() ran before this session was listed
     co_await exchangeMessages(session);
@@ -179,7 +179,7 @@
     delegate_.onPredecessorDescriptorCount(0);
 }
 
-void Handover::serve() {
+void Handover::notifyServing() {
     serving_ = true;
     broadcast(encode(ServingNotice{}));
 }
@@ -231,9 +231,9 @@
 
 void Handover::handle(Session& session, const ServingNotice& /*notice*/) {
     if (session.peer != Session::Peer::Successor) return;
-    session.successorServes = true;
+    session.successorIsServing = true;
     stopListening();
-    delegate_.successorServes(true, session.adminAddress);
+    delegate_.onSuccessorServing(true, session.adminAddress);
 }
 
 void Handover::handle(Session& session, const DescriptorCount& count) {
--- a/src/hot_restart/handover.hpp
+++ b/src/hot_restart/handover.hpp
@@ -41,7 +41,7 @@
     virtual std::size_t openDescriptorCount() const = 0;
     // True: the successor, whose admin server is at `adminAddress`, serves clients. False: the successor has
     // exited, and this node resumes serving.
-    virtual void successorServes(bool serves, const std::string& adminAddress) = 0;
+    virtual void onSuccessorServing(bool serves, const std::string& adminAddress) = 0;
     // The predecessor has this many descriptors open; 0 means that it has exited.
     virtual void onPredecessorDescriptorCount(std::size_t descriptors) = 0;
     // An operator has banned an endpoint at the other node, or lifted its ban there.
@@ -70,16 +70,16 @@
     Task<void> listen();
     // Exchanges messages with the predecessor until it exits. Takes the ownership of `descriptor`, the link
     // to the predecessor.
-    Task<void> follow(int descriptor);
+    Task<void> exchangeWithPredecessor(int descriptor);
     // Notifies the predecessor that this node serves clients from now on.
-    void serve();
+    void notifyServing();
     // Notifies the other nodes that an operator has banned an endpoint here, or lifted its ban.
     void notifyBan(EndpointId endpoint, bool banned);
     // Notifies the other nodes that they are to reload the configuration.
     void notifyReload();
 
-    bool serves() const override;
-    void give(const EstablishedConnection& connection) override;
+    bool isServing() const override;
+    void transferConnection(const EstablishedConnection& connection) override;
 
   private:
     struct Session;
@@ -110,7 +110,7 @@
     Signal signal_;
     HandoverListener listener_;
     bool stateHandedOver_ = false;  // to a successor whose link is open
-    bool serving_ = false;          // serve() was called; the predecessor is notified
+    bool serving_ = false;          // notifyServing() was called; the predecessor is notified
     std::list<Session*> sessions_;
 };
 
--- a/src/hot_restart/handover_address.cpp
+++ b/src/hot_restart/handover_address.cpp
@@ -53,7 +53,7 @@
 std::optional<int> HandoverListener::accept() {
     if (!socket_) return std::nullopt;
     int descriptor = -1;
-    if (socket_.accept(descriptor) != Socket::Accepting::Taken) return std::nullopt;
+    if (socket_.accept(descriptor) != Socket::AcceptResult::Accepted) return std::nullopt;
     return descriptor;
 }
 
--- a/src/hot_restart/handover_link.cpp
+++ b/src/hot_restart/handover_link.cpp
@@ -32,7 +32,7 @@
 }
 
 void HandoverLink::receive() {
-    while (!connection_.over() && !overflowed()) {
+    while (!connection_.inputEnded() && !overflowed()) {
         std::array<char, kReadBytes> chunk{};
         const ssize_t count =
             receiveWithDescriptors(connection_.socket.descriptor(), chunk, receivedDescriptors_);
--- a/src/hot_restart/handover_link.hpp
+++ b/src/hot_restart/handover_link.hpp
@@ -27,7 +27,7 @@
     // Raised when data has arrived or more can be sent.
     Signal& signal() { return signal_; }
     // Whether the peer has closed the link, or the link failed.
-    bool ended() const { return connection_.over(); }
+    bool ended() const { return connection_.inputEnded(); }
     // Whether the received data has reached the maximum size of a message; receive() then reads no more.
     bool overflowed() const;
 
--- a/src/hot_restart/handover_messages.cpp
+++ b/src/hot_restart/handover_messages.cpp
@@ -41,21 +41,22 @@
 // Whether a relay can resume the connection: its opening line is valid, and the counts of bytes to send do
 // not exceed the buffered bytes.
 bool isConsistent(const EstablishedConnection& connection) {
-    const auto line = firstLine(connection.opening);
+    const auto line = firstLine(connection.openingLine);
     if (!line || !OpeningLine::parse(line->text)) return false;
     const RelayState& relay = connection.relay;
-    return relay.toUpstream <= relay.fromClient.size() && relay.toClient <= relay.fromUpstream.size();
+    return relay.completeClientBytes <= relay.fromClient.size() &&
+           relay.completeUpstreamBytes <= relay.fromUpstream.size();
 }
 
 EstablishedConnection connectionFrom(const Json& content) {
     EstablishedConnection connection;
-    connection.opening = fromHex(content.at("connection").get<std::string>());
+    connection.openingLine = fromHex(content.at("connection").get<std::string>());
     connection.endpoint = EndpointId{content.at("host").get<std::uint64_t>()};
     connection.relay.fromClient = fromHex(content.at("from_client").get<std::string>());
     connection.relay.fromUpstream = fromHex(content.at("from_host").get<std::string>());
-    connection.relay.toUpstream = content.at("to_host").get<std::size_t>();
-    connection.relay.toClient = content.at("to_client").get<std::size_t>();
-    connection.relay.unanswered = Time{content.at("unanswered").get<Time::rep>()};
+    connection.relay.completeClientBytes = content.at("to_host").get<std::size_t>();
+    connection.relay.completeUpstreamBytes = content.at("to_client").get<std::size_t>();
+    connection.relay.unansweredSince = Time{content.at("unanswered").get<Time::rep>()};
     if (content.contains("load")) connection.load = content.at("load").get<double>();
     return connection;
 }
@@ -126,13 +127,13 @@
 }
 
 std::string encode(const EstablishedConnection& connection) {
-    Json content{{"connection", toHex(connection.opening)},
+    Json content{{"connection", toHex(connection.openingLine)},
                  {"host", static_cast<std::uint64_t>(connection.endpoint)},
                  {"from_client", toHex(connection.relay.fromClient)},
                  {"from_host", toHex(connection.relay.fromUpstream)},
-                 {"to_host", connection.relay.toUpstream},
-                 {"to_client", connection.relay.toClient},
-                 {"unanswered", connection.relay.unanswered.count()}};
+                 {"to_host", connection.relay.completeClientBytes},
+                 {"to_client", connection.relay.completeUpstreamBytes},
+                 {"unanswered", connection.relay.unansweredSince.count()}};
     if (connection.load) content["load"] = *connection.load;
     return toLine(content);
 }
--- a/src/hot_restart/handover_state.cpp
+++ b/src/hot_restart/handover_state.cpp
@@ -59,7 +59,7 @@
     visit("reported", endpoint.reported);
     visit("reportedAt", endpoint.reportedAt);
     visit("utilisation", endpoint.utilisation);
-    visit("load", endpoint.load);
+    visit("load", endpoint.loadOverCapacity);
     visit("active", endpoint.activeRequests);
     visit("strain", endpoint.slowdown);
     visit("setup", endpoint.setupSlowdown);
@@ -67,7 +67,7 @@
     visit("probeFailures", endpoint.healthCheckFailures);
     visit("trust", endpoint.successRate);
     visit("lateAt", endpoint.lastLateMessageAt);
-    visit("coldNext", endpoint.slowStartTurnsFrom);
+    visit("coldNext", endpoint.slowStartSlotsUsedUntil);
     visit("moveNext", endpoint.nextMigrationAt);
 }
 
@@ -85,7 +85,7 @@
     visit("loads", fleet.loadSeconds);
     visit("seen", fleet.connectionSeconds);
     visit("rate", fleet.arrivalRate);
-    visit("setupUs", fleet.setupMicros);
+    visit("setupUs", fleet.meanSetupMicros);
     visit("usualSetup", fleet.typicalSetupMicros);
     visit("usualLoad", fleet.typicalLoad);
     visit("classLoad", fleet.meanLoadByClass);
@@ -100,7 +100,7 @@
     visit("classes", state.learned.classNames);
     visit("listed", state.learned.listed);
     visit("banned", state.learned.banned);
-    visit("ids", state.ids);
+    visit("ids", state.requestIds);
 }
 
 template <class Record>
--- a/src/hot_restart/handover_state.hpp
+++ b/src/hot_restart/handover_state.hpp
@@ -19,7 +19,7 @@
     std::string adminAddress;  // of the predecessor's admin server; empty if it has none
     MembershipUpdate list;     // the complete endpoint list
     ExportedState learned;
-    std::vector<std::uint64_t> ids;  // of open and recent requests
+    std::vector<std::uint64_t> requestIds;  // of open and recent requests
 
     // The state as JSON, without a line end.
     std::string text() const;
--- a/src/io/buffer.hpp
+++ b/src/io/buffer.hpp
@@ -33,13 +33,13 @@
     void commit(std::size_t count) { end_ += count; }
 
     // Removes bytes at the front.
-    void drop(std::size_t count) {
+    void consume(std::size_t count) {
         begin_ += std::min(count, size());
         if (begin_ == end_) begin_ = end_ = 0;
     }
 
     // Truncates to the first `count` bytes.
-    void keep(std::size_t count) { end_ = begin_ + std::min(count, size()); }
+    void truncate(std::size_t count) { end_ = begin_ + std::min(count, size()); }
 
     // Adds text that the program itself generates; the size may exceed the limit by the length of the text.
     void append(std::string_view text) {
--- a/src/io/scheduler.cpp
+++ b/src/io/scheduler.cpp
@@ -50,13 +50,13 @@
 }
 
 Scheduler::~Scheduler() {
-    dropTasks();
+    destroyTasks();
     ::close(epoll_);
 }
 
 // The destructors of objects in a frame may call spawn() and post(): the loop destroys coroutines spawned
 // this way too, and clear() discards the posted handles.
-void Scheduler::dropTasks() {
+void Scheduler::destroyTasks() {
     while (!roots_.empty()) {
         void* const frame = *roots_.begin();
         roots_.erase(roots_.begin());
--- a/src/io/scheduler.hpp
+++ b/src/io/scheduler.hpp
@@ -41,7 +41,7 @@
     Time now() const { return clock_->now(); }
 
     // Starts a coroutine that no other coroutine awaits. Its frame is destroyed when the coroutine ends, by
-    // dropTasks(), or by the scheduler's destructor. An exception that it does not catch is logged.
+    // destroyTasks(), or by the scheduler's destructor. An exception that it does not catch is logged.
     void spawn(Task<void> task);
     // Resumes a coroutine in the next round.
     void post(std::coroutine_handle<> ready) { ready_.push_back(ready); }
@@ -51,7 +51,7 @@
     void stop() { stopped_ = true; }
     // Destroys the frames of all spawned coroutines. The owner of objects that the coroutines refer to calls
     // this before it destroys those objects.
-    void dropTasks();
+    void destroyTasks();
 
     // Raises the signal for events of the descriptor, edge-triggered, until the descriptor is closed. Throws
     // std::system_error.
@@ -62,7 +62,7 @@
     void forgetDescriptor() { --descriptors_; }
 
     // The number of watched descriptors, and the number of spawned coroutines that have not ended.
-    std::size_t descriptors() const { return descriptors_; }
+    std::size_t watchedDescriptorCount() const { return descriptors_; }
     std::size_t tasks() const { return roots_.size(); }
 
   private:
--- a/src/io/socket.cpp
+++ b/src/io/socket.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr int kListenBacklog = 1024;
-constexpr std::size_t kMaxReadsPerFill = 16;
+constexpr std::size_t kMaxReadsPerReceive = 16;
 
 [[noreturn]] void throwSystemError(const char* operation) {
     throw std::system_error(errno, std::generic_category(), operation);
@@ -95,21 +95,21 @@
     return socket;
 }
 
-Socket::Accepting Socket::accept(int& descriptor) const {
+Socket::AcceptResult Socket::accept(int& descriptor) const {
     for (;;) {
         descriptor = ::accept4(descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (descriptor >= 0) {
             enableOption(descriptor, IPPROTO_TCP, TCP_NODELAY);
-            return Accepting::Taken;
+            return AcceptResult::Accepted;
         }
-        if (errno == EAGAIN || errno == EWOULDBLOCK) return Accepting::None;
+        if (errno == EAGAIN || errno == EWOULDBLOCK) return AcceptResult::WouldBlock;
         if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
-            return Accepting::Exhausted;
+            return AcceptResult::Exhausted;
         // Any other error concerns only the first pending connection, which has already failed: try the next.
     }
 }
 
-Address Socket::local() const {
+Address Socket::localAddress() const {
     Address address;
     socklen_t size = sizeof address.raw_;
     if (::getsockname(descriptor_, reinterpret_cast<sockaddr*>(&address.raw_), &size) != 0)
@@ -117,18 +117,18 @@
     return address;
 }
 
-Socket::Connecting Socket::connecting() const {
+Socket::ConnectState Socket::connectState() const {
     int error = 0;
     socklen_t size = sizeof error;
     if (::getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0)
-        return Connecting::Failed;
+        return ConnectState::Failed;
     sockaddr_in peer{};
     size = sizeof peer;
     const bool connected = ::getpeername(descriptor_, reinterpret_cast<sockaddr*>(&peer), &size) == 0;
-    return connected ? Connecting::Done : Connecting::Pending;
+    return connected ? ConnectState::Done : ConnectState::Pending;
 }
 
-void Socket::finishSending() const {
+void Socket::shutdownSend() const {
     ::shutdown(descriptor_, SHUT_WR);
 }
 
@@ -150,14 +150,14 @@
     scheduler_->forgetDescriptor();
 }
 
-bool Connection::fill() {
+bool Connection::receive() {
     bool received = false;
-    for (std::size_t reads = 0; !over() && reads < kMaxReadsPerFill; ++reads) {
-        const std::span<char> space = in.freeSpace();
+    for (std::size_t reads = 0; !inputEnded() && reads < kMaxReadsPerReceive; ++reads) {
+        const std::span<char> space = input.freeSpace();
         if (space.empty()) break;
         const ssize_t count = ::recv(socket.descriptor(), space.data(), space.size(), 0);
         if (count > 0) {
-            in.commit(static_cast<std::size_t>(count));
+            input.commit(static_cast<std::size_t>(count));
             received = true;
         } else if (count == 0) {
             ended = true;
@@ -170,10 +170,10 @@
     return received;
 }
 
-bool Connection::pass(Buffer& from, std::size_t& count) {
+bool Connection::sendFrom(Buffer& from, std::size_t& count) {
     std::size_t sent = 0;
     send(from.view().substr(0, count), sent);
-    from.drop(sent);
+    from.consume(sent);
     count -= sent;
     return sent > 0;
 }
--- a/src/io/socket.hpp
+++ b/src/io/socket.hpp
@@ -47,28 +47,28 @@
     // Returns a listening socket: the inherited descriptor if it is not -1, otherwise a new socket bound to
     // the address. Throws std::system_error.
     static Socket listenOn(Signal& signal, const Address& address, int inherited = -1);
-    // Starts to connect; connecting() reports the progress. Throws std::system_error.
+    // Starts to connect; connectState() reports the progress. Throws std::system_error.
     static Socket connectTo(Signal& signal, const Address& address);
 
     // Accepts the next pending connection and stores its descriptor. Exhausted: the process or the system has
     // run out of descriptors or memory.
-    enum class Accepting { Taken, None, Exhausted };
-    Accepting accept(int& descriptor) const;
+    enum class AcceptResult { Accepted, WouldBlock, Exhausted };
+    AcceptResult accept(int& descriptor) const;
 
     explicit operator bool() const { return descriptor_ >= 0; }
     int descriptor() const { return descriptor_; }
     // The address that the socket is bound to. Throws std::system_error.
-    Address local() const;
+    Address localAddress() const;
 
     // The progress of a connection attempt.
-    enum class Connecting { Pending, Done, Failed };
-    Connecting connecting() const;
+    enum class ConnectState { Pending, Done, Failed };
+    ConnectState connectState() const;
 
     // Stops watching the descriptor and transfers its ownership to the caller.
     int release();
 
     // Shuts down the sending side; the peer then reads an end of file.
-    void finishSending() const;
+    void shutdownSend() const;
     // Closes with a TCP reset.
     void reset();
     void close();
@@ -86,18 +86,18 @@
 
     // Reads into the buffer until no more input is available, the buffer is full, or the maximum number of
     // reads per call is reached. Returns true if bytes were read.
-    bool fill();
+    bool receive();
     // Sends the first `count` bytes of another connection's buffer. Removes the sent bytes from the buffer
     // and subtracts them from `count`. Returns true if bytes were sent.
-    bool pass(Buffer& from, std::size_t& count);
+    bool sendFrom(Buffer& from, std::size_t& count);
     // Sends the text from position `sent` on, as far as the socket accepts it, and advances `sent`.
     void send(std::string_view text, std::size_t& sent);
 
     // Whether no further bytes will arrive.
-    bool over() const { return ended || broken; }
+    bool inputEnded() const { return ended || broken; }
 
     Socket socket;
-    Buffer in;
+    Buffer input;
     bool ended = false;   // the peer has shut down its sending side
     bool broken = false;  // the connection failed: nothing more can be sent
 };
--- a/src/membership/call_policy.cpp
+++ b/src/membership/call_policy.cpp
@@ -57,7 +57,7 @@
 Retry CallPolicy::nextRetry(const CallEnd& end) {
     const bool stableWatch = end.watchAge >= kStableWatchAge;
     if (stableWatch) consecutiveRejections_ = 0;
-    if (pushGrace_) return pushRetry(end);
+    if (pushDeadline_) return pushRetry(end);
     switch (end.failure) {
         case CallFailure::HeartbeatTimeout:
             // The node may have missed changes since the last heartbeat, so it reconnects without a delay.
@@ -86,7 +86,7 @@
 Micros CallPolicy::delayAfterAddressChange() {
     consecutiveRejections_ = 0;
     queueTimes_ = {};
-    if (pushGrace_) return Micros{0};
+    if (pushDeadline_) return Micros{0};
     return fleetJitter();
 }
 
@@ -102,7 +102,7 @@
 // the call may use the part of the propagation deadline that the preceding backoff has left. The sender of a
 // pushed list has no queue.
 Micros CallPolicy::hedgingDelay() const {
-    if (pushGrace_) return kPushHedgingDelay;
+    if (pushDeadline_) return kPushHedgingDelay;
     const Micros likelyLostAfter = longestQueueTime() + kSchedulingMargin;
     if (consecutiveRejections_ == 0) return likelyLostAfter;
     const Micros timeLeft = kPropagationDeadline - kSchedulingMargin - lastOverloadBackoff_;
@@ -120,7 +120,7 @@
 
 // Random delay that spreads the calls of the fleet when all nodes call at the same time.
 Micros CallPolicy::fleetJitter() {
-    return randomDelay(std::min(kJitterPerNode * fleetSize_, kMaxFleetJitter));
+    return randomDelay(std::min(kJitterPerNode * nodeCount_, kMaxFleetJitter));
 }
 
 // Exponential backoff with full jitter. Each consecutive call doubles the upper bound, up to maxBackoff().
@@ -132,14 +132,14 @@
 }
 
 // A node must not miss changes of a pushed list. A stable watch that ends is reopened immediately, and an
-// unreachable sender is called twice within the grace period.
+// unreachable sender is called twice before the push deadline.
 Retry CallPolicy::pushRetry(const CallEnd& end) {
     const bool watchLost =
         end.failure == CallFailure::HeartbeatTimeout || end.failure == CallFailure::WatchEnded;
     if (watchLost && end.watchAge >= kStableWatchAge) return {Micros{0}, false};
-    const Micros halfGrace = std::max(*pushGrace_ / 2, kMinDelay);
-    if (end.failure == CallFailure::Unreachable) return {halfGrace, false};
-    const Micros upperBound = std::min(halfGrace, kPushBackoff);
+    const Micros halfDeadline = std::max(*pushDeadline_ / 2, kMinDelay);
+    if (end.failure == CallFailure::Unreachable) return {halfDeadline, false};
+    const Micros upperBound = std::min(halfDeadline, kPushBackoff);
     return {upperBound / 2 + randomDelay(upperBound / 2), true};
 }
 
--- a/src/membership/call_policy.hpp
+++ b/src/membership/call_policy.hpp
@@ -50,11 +50,11 @@
 
     // The number of nodes that watch the same list. If all of them call at the same time, jitter spreads the
     // calls over a time that grows with this number.
-    void setFleetSize(std::uint32_t nodes) { fleetSize_ = nodes; }
+    void setNodeCount(std::uint32_t nodes) { nodeCount_ = nodes; }
     // For a pushed list: the time within which a change must be applied, whether or not a watch is open. The
     // sender serves a single node, so that its failures are not signs of overload. nullopt: the node
     // polls the list.
-    void setPushGrace(std::optional<Micros> grace) { pushGrace_ = grace; }
+    void setPushDeadline(std::optional<Micros> deadline) { pushDeadline_ = deadline; }
 
     // Records that the first message of a watch arrived `elapsed` after the start of the call.
     void recordResponse(Micros elapsed);
@@ -83,8 +83,8 @@
     Micros maxBackoff() const;
 
     SplitMix64 random_;
-    std::uint32_t fleetSize_ = 1;
-    std::optional<Micros> pushGrace_;
+    std::uint32_t nodeCount_ = 1;
+    std::optional<Micros> pushDeadline_;
     unsigned consecutiveRejections_ = 0;  // since the last stable watch
     Micros lastOverloadBackoff_{0};
     std::array<Micros, kRecordedQueueTimes> queueTimes_{};
--- a/src/membership/membership_call.cpp
+++ b/src/membership/membership_call.cpp
@@ -43,13 +43,13 @@
 }
 
 void MembershipCall::checkConnection() {
-    switch (connection_.socket.connecting()) {
-        case Socket::Connecting::Pending:
+    switch (connection_.socket.connectState()) {
+        case Socket::ConnectState::Pending:
             return;
-        case Socket::Connecting::Failed:
+        case Socket::ConnectState::Failed:
             fail(CallFailure::Unreachable, "discovery is unreachable");
             return;
-        case Socket::Connecting::Done:
+        case Socket::ConnectState::Done:
             state_ = State::AwaitingResponse;
             return;
     }
@@ -57,7 +57,7 @@
 
 bool MembershipCall::transferData() {
     connection_.send(request_, sent_);
-    const bool received = connection_.fill();
+    const bool received = connection_.receive();
     try {
         readResponse();
     } catch (const std::exception& error) {
@@ -68,8 +68,8 @@
 }
 
 void MembershipCall::readResponse() {
-    response_.take(connection_.in, body_);
-    if (response_.started() && response_.status() != kHttpOk) {
+    response_.consume(connection_.input, body_);
+    if (response_.headersComplete() && response_.status() != kHttpOk) {
         fail(CallFailure::Overloaded,
              "discovery responded with status " + std::to_string(response_.status()));
         return;
@@ -86,7 +86,7 @@
     const std::string what = watching ? "the watch" : "the call";
     if (response_.complete()) {
         fail(kind, "discovery closed " + what);
-    } else if (connection_.over() && !received) {
+    } else if (connection_.inputEnded() && !received) {
         fail(kind, what + " was disconnected");
     }
 }
@@ -101,7 +101,7 @@
         const std::string_view rest = std::string_view(body_).substr(begin);
         if (rest.empty()) break;
         if (rest.front() != '{') throw MembershipUpdateError("message from discovery is not a JSON object");
-        const std::optional<std::size_t> end = scanner_.end(rest);
+        const std::optional<std::size_t> end = scanner_.findEnd(rest);
         if (!end) break;
         messages_.emplace_back(MembershipUpdate::parse(rest.substr(0, *end)));
         begin += *end;
--- a/src/membership/membership_table.cpp
+++ b/src/membership/membership_table.cpp
@@ -14,7 +14,7 @@
         "endpoint list: {} has id {:016x}, address {}, state {}, kind {}, cell {}, start time {} ms",
         entry.name, static_cast<std::uint64_t>(endpoint), member.address.text(),
         stateName(entry.availability), entry.kind, entry.cell,
-        std::chrono::duration_cast<std::chrono::milliseconds>(entry.started).count());
+        std::chrono::duration_cast<std::chrono::milliseconds>(entry.startedAt).count());
 }
 
 }  // namespace
@@ -22,7 +22,7 @@
 void MembershipTable::apply(const MembershipUpdate& update) {
     version_ = update.version;
     if (update.full) {
-        connector_.forgetAddresses();
+        connector_.removeAllAddresses();
         members_.clear();
     }
     for (const Member& member : update.members) {
@@ -34,7 +34,7 @@
     const EndpointId endpoint = endpointIdOf(member.entry.name);
     logMember(endpoint, member);
     if (member.entry.availability == Availability::Gone) {
-        connector_.forgetAddress(endpoint);
+        connector_.removeAddress(endpoint);
         members_.erase(member.entry.name);
     } else {
         connector_.setAddress(endpoint, member.address);
--- a/src/membership/membership_update.cpp
+++ b/src/membership/membership_update.cpp
@@ -29,7 +29,7 @@
     entry.kind = valueOr(json, "kind", std::string());
     entry.cell = valueOr(json, "cell", 0U);
     entry.weight = valueOr(json, "weight", 1.0);
-    entry.started = milliseconds(valueOr(json, "started_ms", std::int64_t{0}));
+    entry.startedAt = milliseconds(valueOr(json, "started_ms", std::int64_t{0}));
     const auto address = Address::parse(valueOr(json, "addr", std::string()));
     if (!address && entry.availability != Availability::Gone)
         throw MembershipUpdateError("invalid address of endpoint " + entry.name);
@@ -45,7 +45,7 @@
             {"cell", entry.cell},
             {"state", stateName(entry.availability)},
             {"weight", entry.weight},
-            {"started_ms", std::chrono::duration_cast<milliseconds>(entry.started).count()}};
+            {"started_ms", std::chrono::duration_cast<milliseconds>(entry.startedAt).count()}};
 }
 
 }  // namespace
--- a/src/membership/membership_watcher.cpp
+++ b/src/membership/membership_watcher.cpp
@@ -43,7 +43,7 @@
     signal_.raise();
 }
 
-void MembershipWatcher::moveTo(const Address& discovery) {
+void MembershipWatcher::setDiscoveryAddress(const Address& discovery) {
     if (discovery == discovery_) return;
     discovery_ = discovery;
     addressChanged_ = true;
--- a/src/membership/membership_watcher.hpp
+++ b/src/membership/membership_watcher.hpp
@@ -44,17 +44,17 @@
     bool live() const { return freshness_.live(); }
     ListStatus status() const;
     // Whether the first call has opened a watch or has failed.
-    bool firstCallEnded() const { return firstCallEnded_; }
+    bool hasFirstCallEnded() const { return firstCallEnded_; }
     // The number of nodes that watch the list, and the time within which a change of a pushed list must be
     // applied. CallPolicy uses both.
-    void setFleetSize(std::uint32_t nodes) { policy_.setFleetSize(nodes); }
-    void setPushGrace(std::optional<Micros> grace) { policy_.setPushGrace(grace); }
+    void setNodeCount(std::uint32_t nodes) { policy_.setNodeCount(nodes); }
+    void setPushDeadline(std::optional<Micros> deadline) { policy_.setPushDeadline(deadline); }
     // Makes run() call discovery. Later calls of this function have no effect: the watcher itself schedules
     // its retries.
     void start();
     // Changes the address of discovery. The next watch continues from the known version.
-    void moveTo(const Address& discovery);
-    // Runs until the scheduler drops the task.
+    void setDiscoveryAddress(const Address& discovery);
+    // Runs until the scheduler destroys the task.
     Task<void> run();
 
   private:
--- a/src/node/config_reload.cpp
+++ b/src/node/config_reload.cpp
@@ -26,7 +26,7 @@
     next.name = current.name;
     next.listen = current.listen;
     next.adminAddress = current.adminAddress;
-    next.sockets = effectiveDescriptorLimit(next.sockets);
+    next.descriptorLimit = effectiveDescriptorLimit(next.descriptorLimit);
     return result;
 }
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -40,7 +40,7 @@
 
 void runNode() {
     Config config = readConfig();
-    config.sockets = effectiveDescriptorLimit(config.sockets);
+    config.descriptorLimit = effectiveDescriptorLimit(config.descriptorLimit);
     const HandoverAddress handoverAddress = handoverAddressOf(config);
     Node node{std::move(config), handoverAddress, PredecessorState::request(handoverAddress)};
     node.run();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -38,7 +38,7 @@
 
 // A seed that differs between processes that start at the same time.
 std::uint64_t processSeed(Time now) {
-    return mix(static_cast<std::uint64_t>(::getpid())) ^ static_cast<std::uint64_t>(now.count());
+    return hash64(static_cast<std::uint64_t>(::getpid())) ^ static_cast<std::uint64_t>(now.count());
 }
 
 }  // namespace
@@ -72,7 +72,7 @@
 }
 
 void Node::run() {
-    scheduler_.run([this] { return tracker_.tick(); });
+    scheduler_.run([this] { return tracker_.runDueTimers(); });
 }
 
 // ---- startup ----
@@ -90,13 +90,13 @@
 
 // Restores the state of the predecessor, if there is one; otherwise the endpoint list of the configuration.
 void Node::restoreState() {
-    const MembershipUpdate& known = inheritedState_ ? inheritedState_->list : config_.known;
+    const MembershipUpdate& known = inheritedState_ ? inheritedState_->list : config_.knownEndpoints;
     watcher_.restore(known);
     applyDiscoverySettings();
     tracker_.start(known.entries());
     if (inheritedState_) {
         tracker_.importState(inheritedState_->learned);
-        proxyServer_.importRequestIds(inheritedState_->ids);
+        proxyServer_.importRequestIds(inheritedState_->requestIds);
     }
 }
 
@@ -129,7 +129,7 @@
 Task<void> Node::awaitFirstListCall(Micros timeout) {
     Signal pause{scheduler_};
     const Time deadline = scheduler_.now() + timeout;
-    while (!watcher_.firstCallEnded() && scheduler_.now() < deadline) {
+    while (!watcher_.hasFirstCallEnded() && scheduler_.now() < deadline) {
         co_await pause.wait(scheduler_.now() + kListCheckInterval);
     }
 }
@@ -142,10 +142,10 @@
 }
 
 Task<void> Node::takeOver(int link) {
-    scheduler_.spawn(handover_.follow(link));
+    scheduler_.spawn(handover_.exchangeWithPredecessor(link));
     co_await awaitFirstListCall(kTakeoverListTimeout);
     startServing();
-    handover_.serve();
+    handover_.notifyServing();
 }
 
 // ---- configuration ----
@@ -154,7 +154,7 @@
 std::size_t Node::clientDescriptorLimit() const {
     const std::size_t adminDescriptors = config_.adminAddress ? AdminServer::kMaxDescriptors : 0;
     const std::size_t reserved = adminDescriptors + predecessorDescriptors_;
-    return config_.sockets - std::min(config_.sockets, reserved);
+    return config_.descriptorLimit - std::min(config_.descriptorLimit, reserved);
 }
 
 void Node::applyDescriptorLimits() {
@@ -165,8 +165,8 @@
 void Node::applyDiscoverySettings() {
     const Settings& settings = config_.settings.settings;
     const Micros drainGracePeriod = settings.operatingLimits.drainGracePeriod;
-    watcher_.setFleetSize(settings.nodes);
-    watcher_.setPushGrace(config_.listPushed ? std::optional(drainGracePeriod) : std::nullopt);
+    watcher_.setNodeCount(settings.nodes);
+    watcher_.setPushDeadline(config_.listPushed ? std::optional(drainGracePeriod) : std::nullopt);
 }
 
 // Applies the whole configuration file; if the file is invalid, the current configuration stays in effect.
@@ -178,7 +178,7 @@
         apply(std::move(reloaded.config));
         ++metrics_.confLoaded;
         spdlog::info("configuration reloaded: discovery at {}, limit of {} descriptors",
-                     config_.discovery.text(), config_.sockets);
+                     config_.discovery.text(), config_.descriptorLimit);
     } catch (const std::exception& error) {
         ++metrics_.confInvalid;
         spdlog::error("configuration reload rejected: {}", error.what());
@@ -189,13 +189,13 @@
     config_ = std::move(config);
     tracker_.applySettings(config_.settings);
     applyDiscoverySettings();
-    watcher_.moveTo(config_.discovery);
+    watcher_.setDiscoveryAddress(config_.discovery);
     applyDescriptorLimits();
 }
 
 // ---- endpoints and operators ----
 
-void Node::withholdingChanged(EndpointId endpoint, bool withheld) {
+void Node::onWithholdingChanged(EndpointId endpoint, bool withheld) {
     const auto id = static_cast<std::uint64_t>(endpoint);
     if (withheld) {
         ++metrics_.withheld;
@@ -211,7 +211,7 @@
 std::string Node::metricsText() const {
     const ListStatus list = watcher_.status();
     return metrics_.exposition({proxyServer_.openRequestCount(), tracker_.listedEndpointCount(),
-                                tracker_.avoidedEndpointCount(), inMillis(list.age),
+                                tracker_.excludedEndpointCount(), inMillis(list.age),
                                 inMillis(list.timeWithoutWatch)});
 }
 
@@ -230,7 +230,7 @@
     if (adminServer_) state.adminAddress = adminServer_->address().text();
     state.list = watcher_.snapshot();
     state.learned = tracker_.exportState();
-    state.ids = proxyServer_.requestIds();
+    state.requestIds = proxyServer_.requestIds();
     return state.text();
 }
 
@@ -241,11 +241,11 @@
 }
 
 std::size_t Node::openDescriptorCount() const {
-    return scheduler_.descriptors() + kUnwatchedDescriptors;
+    return scheduler_.watchedDescriptorCount() + kUnwatchedDescriptors;
 }
 
 // If the successor has another admin address, the admin server of this node goes on accepting.
-void Node::successorServes(bool serves, const std::string& adminAddress) {
+void Node::onSuccessorServing(bool serves, const std::string& adminAddress) {
     spdlog::info(serves ? "hot restart: the successor serves and accepts all new connections"
                         : "hot restart: the successor has ended, accepting connections again");
     proxyServer_.setAccepting(!serves);
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -34,7 +34,7 @@
     Node& operator=(const Node&) = delete;
     Node(Node&&) = delete;
     Node& operator=(Node&&) = delete;
-    ~Node() override { scheduler_.dropTasks(); }  // the tasks refer to the other members
+    ~Node() override { scheduler_.destroyTasks(); }  // the tasks refer to the other members
 
     // Runs until a shutdown that SIGINT requested has completed.
     void run();
@@ -42,8 +42,8 @@
     // TrackerEnvironment
     Time now() const override { return scheduler_.now(); }
     void startHealthCheck(EndpointId endpoint) override { healthChecker_.startHealthCheck(endpoint); }
-    void watchList() override { watcher_.start(); }
-    void withholdingChanged(EndpointId endpoint, bool withheld) override;
+    void startWatchingEndpointList() override { watcher_.start(); }
+    void onWithholdingChanged(EndpointId endpoint, bool withheld) override;
 
     // AdminDelegate
     bool ready() const override { return ready_; }
@@ -54,7 +54,7 @@
     std::string handoverState() const override;
     std::vector<int> listeners() const override;
     std::size_t openDescriptorCount() const override;
-    void successorServes(bool serves, const std::string& adminAddress) override;
+    void onSuccessorServing(bool serves, const std::string& adminAddress) override;
     void onPredecessorDescriptorCount(std::size_t descriptors) override;
     void onBanChanged(EndpointId endpoint, bool banned) override;
     void onReload() override;
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -37,7 +37,7 @@
     return *value;
 }
 
-void HttpMessageParser::take(Buffer& input, std::string& body) {
+void HttpMessageParser::consume(Buffer& input, std::string& body) {
     while (step(input, body)) {
     }
 }
@@ -52,7 +52,7 @@
             return readBody(input, body);
         case State::BodyUntilClose:
             body.append(input.view());
-            input.drop(input.size());
+            input.consume(input.size());
             return false;
         default:
             return readLine(input);
@@ -67,14 +67,14 @@
         return false;
     }
     parseLine(line->text);
-    input.drop(line->bytes);
+    input.consume(line->bytes);
     return true;
 }
 
 bool HttpMessageParser::readBody(Buffer& input, std::string& body) {
     const std::size_t count = std::min(remainingBytes_, input.size());
     body.append(input.view().substr(0, count));
-    input.drop(count);
+    input.consume(count);
     remainingBytes_ -= count;
     if (remainingBytes_ > 0) return false;
     state_ = state_ == State::ChunkData ? State::ChunkEnd : State::Complete;
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -27,10 +27,10 @@
 
     // Consumes as much of `input` as can be parsed and appends the bytes of the body to `body`. Throws
     // HttpError.
-    void take(Buffer& input, std::string& body);
+    void consume(Buffer& input, std::string& body);
 
     // Whether the start line and all headers have been parsed.
-    bool started() const { return state_ != State::StartLine && state_ != State::Headers; }
+    bool headersComplete() const { return state_ != State::StartLine && state_ != State::Headers; }
     // Whether the whole message has been parsed. A message whose body ends with the connection is never
     // complete.
     bool complete() const { return state_ == State::Complete; }
--- a/src/protocol/json_object_scanner.cpp
+++ b/src/protocol/json_object_scanner.cpp
@@ -4,7 +4,7 @@
 
 namespace ivyreel {
 
-std::optional<std::size_t> JsonObjectScanner::end(std::string_view text) {
+std::optional<std::size_t> JsonObjectScanner::findEnd(std::string_view text) {
     while (scanned_ < text.size()) {
         const char c = text[scanned_++];
         if (std::exchange(escaped_, false)) continue;
--- a/src/protocol/json_object_scanner.hpp
+++ b/src/protocol/json_object_scanner.hpp
@@ -13,7 +13,7 @@
     // The length in bytes of the text up to the end of the first object; none if the object is not complete
     // yet. Until it is complete, each call must pass the text of the previous call with the newly received
     // text appended. Afterwards the scanner is ready for the next object.
-    std::optional<std::size_t> end(std::string_view text);
+    std::optional<std::size_t> findEnd(std::string_view text);
 
   private:
     std::size_t scanned_ = 0;  // bytes
--- a/src/protocol/keywords.hpp
+++ b/src/protocol/keywords.hpp
@@ -23,7 +23,7 @@
 namespace fixed_line {
 
 inline constexpr std::string_view kError = "ERR\r\n";        // the request has failed
-inline constexpr std::string_view kMigrate = "MOVE\r\n";     // the client is to reconnect
+inline constexpr std::string_view kMove = "MOVE\r\n";        // the client is to reconnect
 inline constexpr std::string_view kPing = "PING\r\n";        // a health check
 inline constexpr std::string_view kLoadQuery = "STATS\r\n";  // a health check that requests a load report
 inline constexpr std::string_view kPong = "PONG\r\n";        // the answer to a health check
--- a/src/proxy/connection_acceptor.cpp
+++ b/src/proxy/connection_acceptor.cpp
@@ -51,9 +51,9 @@
         const Time evictableAt = unopened_.makeRoom(descriptors_.maxUnopened(), scheduler_.now());
         if (evictableAt != kNever) return evictableAt;
         int descriptor = -1;
-        const Socket::Accepting state = listener_.accept(descriptor);
-        if (state == Socket::Accepting::None) return kNever;
-        if (state == Socket::Accepting::Exhausted) {
+        const Socket::AcceptResult state = listener_.accept(descriptor);
+        if (state == Socket::AcceptResult::WouldBlock) return kNever;
+        if (state == Socket::AcceptResult::Exhausted) {
             reportExhaustion();
             return scheduler_.now() + kExhaustedRetryDelay;
         }
@@ -66,7 +66,7 @@
 void ConnectionAcceptor::reportExhaustion() {
     if (std::exchange(exhaustionReported_, true)) return;
     spdlog::error("cannot accept connections: out of descriptors ({} watched, limit {})",
-                  scheduler_.descriptors(), descriptors_.limit());
+                  scheduler_.watchedDescriptorCount(), descriptors_.limit());
 }
 
 void ConnectionAcceptor::handle(int descriptor) {
--- a/src/proxy/connection_acceptor.hpp
+++ b/src/proxy/connection_acceptor.hpp
@@ -24,7 +24,7 @@
                        const DescriptorBudget& descriptors, Metrics& metrics, const Address& address,
                        int inheritedListener, Handler handler);
 
-    Address address() const { return listener_.local(); }
+    Address address() const { return listener_.localAddress(); }
     int descriptor() const { return listener_.descriptor(); }
 
     // Starts or stops accepting. While the acceptor is stopped, new connections wait in the listen queue.
--- a/src/proxy/connection_attempt.cpp
+++ b/src/proxy/connection_attempt.cpp
@@ -45,9 +45,9 @@
 // comes first, then the client, then the endpoint, then the deadline.
 std::optional<AttemptResult> ConnectionAttempt::poll() {
     polledAt_ = now();
-    if (trackedRequest_.hasDecision() || (target_.resumed && connections_.migrationRequested))
+    if (trackedRequest_.hasPendingDecision() || (target_.resumed && connections_.migrationRequested))
         return withoutOutcome(AttemptResult::Kind::Cancelled);
-    connections_.client.fill();
+    connections_.client.receive();
     if (connections_.clientAbandoned()) return withoutOutcome(AttemptResult::Kind::ClientAbandoned);
     if (!connected_) {
         if (const auto result = checkConnect()) return result;
@@ -60,9 +60,9 @@
 }
 
 std::optional<AttemptResult> ConnectionAttempt::checkConnect() {
-    const Socket::Connecting state = connections_.upstream.socket.connecting();
-    if (state == Socket::Connecting::Failed) return ended(Outcome::ConnectFailed);
-    connected_ = state == Socket::Connecting::Done;
+    const Socket::ConnectState state = connections_.upstream.socket.connectState();
+    if (state == Socket::ConnectState::Failed) return ended(Outcome::ConnectFailed);
+    connected_ = state == Socket::ConnectState::Done;
     if (!connected_) return std::nullopt;
     return prepareOpening();
 }
@@ -70,10 +70,11 @@
 // Checks again, right before the first byte is sent, that the endpoint is eligible and has the same address:
 // either may have changed while the connection was being established.
 std::optional<AttemptResult> ConnectionAttempt::prepareOpening() {
-    connections_.upstream.fill();
-    if (connections_.upstream.over()) return ended(Outcome::ConnectFailed);  // before the opening line
-    const bool isStillValid = target_.resumed || tracker_.isStillValid(trackedRequest_, target_.endpoint);
-    if (!isStillValid || connector_.addressOf(target_.endpoint) != address_) {
+    connections_.upstream.receive();
+    if (connections_.upstream.inputEnded()) return ended(Outcome::ConnectFailed);  // before the opening line
+    const bool isAttemptStillValid =
+        target_.resumed || tracker_.isAttemptStillValid(trackedRequest_, target_.endpoint);
+    if (!isAttemptStillValid || connector_.addressOf(target_.endpoint) != address_) {
         ++metrics_.notSent;
         return ended(Outcome::NotSent);
     }
@@ -85,10 +86,10 @@
 std::optional<AttemptResult> ConnectionAttempt::exchange() {
     Connection& upstream = connections_.upstream;
     sendOpening();
-    upstream.fill();
-    if (const auto line = firstLine(upstream.in.view())) return resultOf(*line);
-    if (exceedsMaxLineLength(upstream.in.view())) return ended(Outcome::Error);
-    if (upstream.over()) return ended(openingSent() ? Outcome::Reset : Outcome::ConnectFailed);
+    upstream.receive();
+    if (const auto line = firstLine(upstream.input.view())) return resultOf(*line);
+    if (exceedsMaxLineLength(upstream.input.view())) return ended(Outcome::Error);
+    if (upstream.inputEnded()) return ended(openingSent() ? Outcome::Reset : Outcome::ConnectFailed);
     return std::nullopt;
 }
 
--- a/src/proxy/connection_pair.cpp
+++ b/src/proxy/connection_pair.cpp
@@ -21,12 +21,12 @@
     std::size_t discarded = 0;
     while (!client.broken && scheduler.now() < deadline) {
         client.send(line, sent);
-        if (sent == line.size() && !std::exchange(sendingFinished, true)) client.socket.finishSending();
-        discarded += client.in.size();
-        client.in.drop(client.in.size());
+        if (sent == line.size() && !std::exchange(sendingFinished, true)) client.socket.shutdownSend();
+        discarded += client.input.size();
+        client.input.consume(client.input.size());
         // More input may be available: yield to the other coroutines before the next read.
-        if (discarded < kMaxDiscardedBytes && client.fill()) connections.signal.raise();
-        if (connections.evicted || (sendingFinished && client.over())) break;
+        if (discarded < kMaxDiscardedBytes && client.receive()) connections.signal.raise();
+        if (connections.evicted || (sendingFinished && client.inputEnded())) break;
         co_await connections.signal.wait(deadline);
     }
     client.socket.close();
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -26,7 +26,7 @@
 // Each pending request counts as one more descriptor, for the upstream connection that it may not have yet.
 // The unopened connections count with their whole share instead of their number.
 bool DescriptorBudget::full() const {
-    const std::size_t inUse = scheduler_.descriptors() + active_.pending.size() - unopened_.size();
+    const std::size_t inUse = scheduler_.watchedDescriptorCount() + active_.pending.size() - unopened_.size();
     return inUse + maxUnopened() + kDescriptorsPerRequest + kReservedDescriptors > limit_;
 }
 
--- a/src/proxy/endpoint_connector.hpp
+++ b/src/proxy/endpoint_connector.hpp
@@ -19,8 +19,8 @@
     EndpointConnector(RequestTracker& tracker, Metrics& metrics) : tracker_(tracker), metrics_(metrics) {}
 
     void setAddress(EndpointId endpoint, const Address& address) { addresses_[endpoint] = address; }
-    void forgetAddress(EndpointId endpoint) { addresses_.erase(endpoint); }
-    void forgetAddresses() { addresses_.clear(); }
+    void removeAddress(EndpointId endpoint) { addresses_.erase(endpoint); }
+    void removeAllAddresses() { addresses_.clear(); }
     std::optional<Address> addressOf(EndpointId endpoint) const;
 
     // Runs one attempt: sends the opening line to the target and waits for the answer. With
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -45,7 +45,7 @@
 
 void GracefulShutdown::handOver(Successor& successor) {
     for (ConnectionPair* connections : active_.established) {
-        if (!successor.serves()) return;
+        if (!successor.isServing()) return;
         connections->successor = &successor;
         connections->signal.raise();
     }
--- a/src/proxy/opening_reader.cpp
+++ b/src/proxy/opening_reader.cpp
@@ -44,10 +44,10 @@
 // class appears in the metrics of no class.
 OpeningReader::Validated OpeningReader::takeOpening(Connection& client, const Line& line) {
     std::optional<OpeningLine> opening = OpeningLine::parse(line.text);
-    client.in.drop(line.bytes);
+    client.input.consume(line.bytes);
     if (!opening) return Rejected{InputError::Malformed};
     const std::optional<InputError> error =
-        client.in.empty() ? validate(*opening) : InputError::UnexpectedInput;
+        client.input.empty() ? validate(*opening) : InputError::UnexpectedInput;
     if (!error) return std::move(*opening);
     const std::string_view requestClass = opening->value(opening_attribute::kRequestClass);
     if (!tracker_.knowsRequestClass(requestClass)) return Rejected{*error};
@@ -56,17 +56,17 @@
 
 Task<void> OpeningReader::waitUntilServing(ConnectionPair& connections, Time deadline) {
     Connection& client = connections.client;
-    while (!serving_ && !client.over() && !connections.evicted && scheduler_.now() < deadline) {
+    while (!serving_ && !client.inputEnded() && !connections.evicted && scheduler_.now() < deadline) {
         co_await connections.signal.wait(scheduler_.now() + kServingPollInterval);
-        client.fill();
+        client.receive();
     }
 }
 
 // Whether the wait for an opening line has ended without one. Counts the cause.
 bool OpeningReader::hasEnded(const ConnectionPair& connections, Time deadline) {
     const Connection& client = connections.client;
-    if (client.over()) {
-        if (!client.in.empty()) ++metrics_.incompleteOpenings;
+    if (client.inputEnded()) {
+        if (!client.input.empty()) ++metrics_.incompleteOpenings;
         return true;
     }
     if (connections.evicted) return true;
@@ -80,8 +80,8 @@
     const Time deadline = scheduler_.now() + kOpeningTimeout;
     int healthChecks = 0;
     for (;;) {
-        if (client.fill()) connections.signal.raise();  // more input may be available
-        while (const auto line = firstLine(client.in.view())) {
+        if (client.receive()) connections.signal.raise();  // more input may be available
+        while (const auto line = firstLine(client.input.view())) {
             if (line->text != keyword::kPing) {
                 Validated validated = takeOpening(client, *line);
                 if (auto* opening = std::get_if<OpeningLine>(&validated)) co_return std::move(*opening);
@@ -93,14 +93,14 @@
                 connections.signal.raise();
                 co_await connections.signal.wait();
             }
-            client.in.drop(line->bytes);
+            client.input.consume(line->bytes);
             if (!serving_) co_await waitUntilServing(connections, deadline);
             if (!serving_) break;
             std::size_t sent = 0;
             client.send(fixed_line::kPong, sent);
             ++metrics_.pings;
         }
-        if (exceedsMaxLineLength(client.in.view())) {
+        if (exceedsMaxLineLength(client.input.view())) {
             co_await responses_.rejectInput(connections, InputError::OverlongLine, nullptr);
             co_return std::nullopt;
         }
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -50,7 +50,7 @@
             co_await session.serveNewRequest(classMetrics);
         } else {
             ++metrics_.outOfDescriptors;
-            co_await responses_.sendBusy(connections, classMetrics, tracker_.retryAfterAdvice());
+            co_await responses_.sendBusy(connections, classMetrics, tracker_.defaultRetryAfter());
         }
     } catch (const std::exception& error) {
         spdlog::error("connection closed after an error: {}", error.what());
@@ -66,7 +66,7 @@
 
 Task<void> ProxyServer::serveAdopted(std::unique_ptr<ConnectionPair> owned,
                                      EstablishedConnection connection) {
-    const auto opening = OpeningLine::parse(firstLine(connection.opening)->text);
+    const auto opening = OpeningLine::parse(firstLine(connection.openingLine)->text);
     const OpenRequest request{recentRequestIds_, scheduler_, opening->id()};
     RequestSession session{sessionContext_, *owned, *opening};
     RequestAttributes attributes = session.attributes();
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -23,8 +23,8 @@
 }  // namespace
 
 Task<bool> Relay::run() {
-    connections_.client.in.append(std::exchange(state_.fromClient, {}));
-    connections_.upstream.in.append(std::exchange(state_.fromUpstream, {}));
+    connections_.client.input.append(std::exchange(state_.fromClient, {}));
+    connections_.upstream.input.append(std::exchange(state_.fromUpstream, {}));
     for (;;) {
         int steps = 0;
         while (steps < kMaxStepsBeforeYield && step()) {
@@ -43,7 +43,7 @@
             co_await closeAfterClientEnd();
             co_return false;
         }
-        if (connections_.upstream.over() && !more) {
+        if (connections_.upstream.inputEnded() && !more) {
             co_await closeAfterUpstreamEnd();
             co_return false;
         }
@@ -54,7 +54,7 @@
         }
         if (prepareHandover()) co_return true;
         const Time unresponsiveAt =
-            state_.unanswered == kNever ? kNever : state_.unanswered + kUnresponsiveTimeout;
+            state_.unansweredSince == kNever ? kNever : state_.unansweredSince + kUnresponsiveTimeout;
         if (now() >= unresponsiveAt) {
             ++metrics_.migratedUnresponsive;
             ++metrics_.migrated;
@@ -69,49 +69,53 @@
 // If a successor serves and both connections are open, stores the buffered bytes in the state and returns
 // true. To be called between two steps only.
 bool Relay::prepareHandover() {
-    if (connections_.client.over() || connections_.upstream.over()) return false;
-    if (connections_.successor == nullptr || !connections_.successor->serves()) return false;
+    if (connections_.client.inputEnded() || connections_.upstream.inputEnded()) return false;
+    if (connections_.successor == nullptr || !connections_.successor->isServing()) return false;
     if (endNotice_ != EndNotice::None) return false;
-    state_.fromClient = connections_.client.in.view();
-    state_.fromUpstream = connections_.upstream.in.view();
+    state_.fromClient = connections_.client.input.view();
+    state_.fromUpstream = connections_.upstream.input.view();
     return true;
 }
 
 // Reads and writes as much as possible without blocking. Returns false if there was no progress, or if a line
 // exceeds the maximum length.
 bool Relay::step() {
-    bool progress = connections_.client.fill();
-    progress = connections_.upstream.fill() || progress;
+    bool progress = connections_.client.receive();
+    progress = connections_.upstream.receive() || progress;
     scanClientLines();
     scanUpstreamLines();
-    progress = connections_.upstream.pass(connections_.client.in, state_.toUpstream) || progress;
-    progress = connections_.client.pass(connections_.upstream.in, state_.toClient) || progress;
+    progress =
+        connections_.upstream.sendFrom(connections_.client.input, state_.completeClientBytes) || progress;
+    progress =
+        connections_.client.sendFrom(connections_.upstream.input, state_.completeUpstreamBytes) || progress;
     return progress && !overlongLine_;
 }
 
 void Relay::scanClientLines() {
-    while (const auto line = firstLine(connections_.client.in.view().substr(state_.toUpstream))) {
-        state_.toUpstream += line->bytes;
+    while (const auto line = firstLine(connections_.client.input.view().substr(state_.completeClientBytes))) {
+        state_.completeClientBytes += line->bytes;
         ++metrics_.linesToEndpoints;
-        if (state_.unanswered == kNever) state_.unanswered = now();
+        if (state_.unansweredSince == kNever) state_.unansweredSince = now();
     }
-    if (exceedsMaxLineLength(connections_.client.in.view().substr(state_.toUpstream))) overlongLine_ = true;
+    if (exceedsMaxLineLength(connections_.client.input.view().substr(state_.completeClientBytes)))
+        overlongLine_ = true;
 }
 
 void Relay::scanUpstreamLines() {
-    while (const auto line = firstLine(connections_.upstream.in.view().substr(state_.toClient))) {
-        state_.toClient += line->bytes;
+    while (const auto line =
+               firstLine(connections_.upstream.input.view().substr(state_.completeUpstreamBytes))) {
+        state_.completeUpstreamBytes += line->bytes;
         ++metrics_.linesToClients;
         handleUpstreamLine(line->text);
     }
-    if (exceedsMaxLineLength(connections_.upstream.in.view().substr(state_.toClient))) overlongLine_ = true;
+    if (exceedsMaxLineLength(connections_.upstream.input.view().substr(state_.completeUpstreamBytes)))
+        overlongLine_ = true;
 }
 
 void Relay::handleUpstreamLine(std::string_view line) {
     const auto [word, rest] = firstWord(line);
     if (word == keyword::kLoad) {
-        if (const auto figure = parseFiniteNumber(rest))
-            tracker_.loadFigureReceived(trackedRequest_, *figure);
+        if (const auto figure = parseFiniteNumber(rest)) tracker_.loadLineReceived(trackedRequest_, *figure);
         return;
     }
     if (word == keyword::kUp) return;
@@ -122,9 +126,9 @@
         if (endNotice_ != EndNotice::Migrate) tracker_.movedByEndpoint(trackedRequest_.endpoint());
         endNotice_ = EndNotice::Migrate;
     }
-    if (state_.unanswered == kNever) return;
-    tracker_.messageDelayMeasured(trackedRequest_, now() - state_.unanswered);
-    state_.unanswered = kNever;
+    if (state_.unansweredSince == kNever) return;
+    tracker_.messageDelayMeasured(trackedRequest_, now() - state_.unansweredSince);
+    state_.unansweredSince = kNever;
 }
 
 void Relay::reportUpstreamEnd() {
@@ -150,8 +154,8 @@
     const bool reset = connections_.upstream.broken;
     reportUpstreamEnd();
     connections_.upstream.socket.close();
-    const std::string rest(connections_.upstream.in.view());
-    connections_.upstream.in.drop(rest.size());
+    const std::string rest(connections_.upstream.input.view());
+    connections_.upstream.input.consume(rest.size());
     if (reset && endNotice_ == EndNotice::None) {
         std::size_t sent = 0;
         connections_.client.send(rest, sent);
@@ -172,17 +176,17 @@
     }
     const Time deadline = now() + kCloseTimeout;
     bool sendingFinished = false;
-    while (!connections_.upstream.over() && !connections_.client.broken && now() < deadline) {
-        if (connections_.client.in.empty() || sendingFinished) {
-            if (!std::exchange(sendingFinished, true)) connections_.upstream.socket.finishSending();
+    while (!connections_.upstream.inputEnded() && !connections_.client.broken && now() < deadline) {
+        if (connections_.client.input.empty() || sendingFinished) {
+            if (!std::exchange(sendingFinished, true)) connections_.upstream.socket.shutdownSend();
         } else {
-            std::size_t all = connections_.client.in.size();
-            connections_.upstream.pass(connections_.client.in, all);
+            std::size_t all = connections_.client.input.size();
+            connections_.upstream.sendFrom(connections_.client.input, all);
         }
-        connections_.upstream.fill();
+        connections_.upstream.receive();
         scanUpstreamLines();
-        connections_.client.pass(connections_.upstream.in, state_.toClient);
-        if (!connections_.upstream.over() && !(connections_.client.in.empty() && !sendingFinished))
+        connections_.client.sendFrom(connections_.upstream.input, state_.completeUpstreamBytes);
+        if (!connections_.upstream.inputEnded() && !(connections_.client.input.empty() && !sendingFinished))
             co_await connections_.signal.wait(deadline);
     }
     const Outcome outcome = endNotice_ == EndNotice::Completed ? Outcome::Ok : Outcome::Cancelled;
@@ -192,10 +196,10 @@
 // Sends the complete upstream lines and then MOVE to the client, and closes both connections.
 Task<void> Relay::migrate() {
     connections_.upstream.socket.close();
-    connections_.upstream.in.keep(state_.toClient);
-    connections_.upstream.in.append(fixed_line::kMigrate);
-    const std::string rest(connections_.upstream.in.view());
-    connections_.upstream.in.drop(rest.size());
+    connections_.upstream.input.truncate(state_.completeUpstreamBytes);
+    connections_.upstream.input.append(fixed_line::kMove);
+    const std::string rest(connections_.upstream.input.view());
+    connections_.upstream.input.consume(rest.size());
     co_await closeWithFinalLine(connections_, rest);
 }
 
--- a/src/proxy/request_session.cpp
+++ b/src/proxy/request_session.cpp
@@ -39,7 +39,7 @@
 // no further attempt is made for it.
 Task<std::optional<Decision>> RequestSession::awaitDecision(TrackedRequest& trackedRequest) {
     for (;;) {
-        connections_.client.fill();
+        connections_.client.receive();
         if (connections_.clientAbandoned()) co_return std::nullopt;
         if (const auto decision = context_.tracker.takeDecision(trackedRequest)) co_return decision;
         co_await connections_.signal.wait();
@@ -114,7 +114,7 @@
 Task<bool> RequestSession::waitBeforeRetry() {
     const Time retryAt = context_.scheduler.now() + kResumeRetryInterval;
     while (context_.scheduler.now() < retryAt && !connections_.migrationRequested) {
-        connections_.client.fill();
+        connections_.client.receive();
         if (connections_.clientAbandoned()) co_return false;
         co_await connections_.signal.wait(retryAt);
     }
@@ -127,7 +127,7 @@
     const bool handedOver = co_await relay.run();
     if (!handedOver) co_return;
     ++context_.metrics.handedOver;
-    connections_.successor->give(
+    connections_.successor->transferConnection(
         {opening_.withTimeout(Micros{0}), trackedRequest.endpoint(), trackedRequest.load(), std::move(state),
          connections_.client.socket.release(), connections_.upstream.socket.release()});
 }
@@ -135,7 +135,7 @@
 // Ends the request of a client that has disconnected, or has sent more data, before its answer.
 Task<void> RequestSession::abandon(TrackedRequest& trackedRequest, RequestClassMetrics& classMetrics) {
     context_.tracker.abandon(trackedRequest);
-    if (!connections_.client.in.empty())
+    if (!connections_.client.input.empty())
         co_return co_await responses_.rejectInput(connections_, InputError::UnexpectedInput, &classMetrics);
     ++context_.metrics.clientsDisconnected;
 }
--- a/src/requests/event_conversion.cpp
+++ b/src/requests/event_conversion.cpp
@@ -40,9 +40,9 @@
     result.zone = zoneIndexOf(settings.zoneNames, entry.zone);
     result.kind = KindIndex{indexOf(settings.kindNames, entry.kind)};
     result.cell = CellId{entry.cell};
-    result.capacityUnits = entry.weight;
+    result.listedCapacity = entry.weight;
     result.availability = entry.availability;
-    result.startedAt = entry.started;
+    result.startedAt = entry.startedAt;
     return result;
 }
 
@@ -60,7 +60,7 @@
     arrival.requestClass = RequestClassIndex{indexOf(settings.classNames, attributes.requestClass)};
     arrival.tenant = TenantIndex{tenant.empty() ? 0 : indexOf(settings.tenantNames, tenant)};
     arrival.group = GroupId{settings.settings.groupAffinity ? hashOrZero(attributes.group) : 0};
-    arrival.key = FlowKey{hashOrZero(attributes.key)};
+    arrival.flowKey = FlowKey{hashOrZero(attributes.key)};
     arrival.loadHint = attributes.loadHint;
     arrival.clientTimeout = attributes.clientTimeout;
     arrival.reconnecting = attributes.reconnecting;
--- a/src/requests/member_entry.hpp
+++ b/src/requests/member_entry.hpp
@@ -15,7 +15,7 @@
     std::uint32_t cell = 0;
     double weight = 1.0;
     Availability availability = Availability::Ready;
-    Time started{0};  // when the endpoint started; 0: unknown, counts as long ago
+    Time startedAt{0};  // when the endpoint started; 0: unknown, counts as long ago
 };
 
 }  // namespace ivyreel
--- a/src/requests/request_tracker.cpp
+++ b/src/requests/request_tracker.cpp
@@ -40,7 +40,7 @@
     sendToEngine(SettingsChanged{settings_.settings});
 }
 
-Time RequestTracker::tick() {
+Time RequestTracker::runDueTimers() {
     const Time now = environment_.now();
     while (const auto token = timers_.takeDue(now)) {
         sendToEngine(TimerExpired{*token});
@@ -84,8 +84,8 @@
     return decision;
 }
 
-bool RequestTracker::isStillValid(const TrackedRequest& request, EndpointId endpoint) const {
-    return accepts(endpoint) && engine_->isStillValid(environment_.now(), request.arrival_.request);
+bool RequestTracker::isAttemptStillValid(const TrackedRequest& request, EndpointId endpoint) const {
+    return accepts(endpoint) && engine_->isAttemptStillValid(environment_.now(), request.arrival_.request);
 }
 
 void RequestTracker::abandon(TrackedRequest& request) {
@@ -175,7 +175,7 @@
 // Endpoints report loads and message delays on the same line. If the settings announce both, a figure far
 // below the expected load is a delay in milliseconds. If a delay counted as a load, the connections of a slow
 // endpoint would look idle, and the endpoint would get more connections.
-void RequestTracker::loadFigureReceived(TrackedRequest& request, double figure) {
+void RequestTracker::loadLineReceived(TrackedRequest& request, double figure) {
     if (settings_.reportsMessageDelay && figure < kMinimumLoadShare * request.expectedLoad_) {
         sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, figure});
         return;
@@ -247,18 +247,18 @@
 void RequestTracker::recordListEntries(bool full, const std::vector<MemberEntry>& entries) {
     ListEntriesReceived received{full, {}};
     for (const MemberEntry& entry : entries) {
-        received.entries.push_back({endpointIdOf(entry.name), entry.availability, entry.started});
+        received.entries.push_back({endpointIdOf(entry.name), entry.availability, entry.startedAt});
     }
     recordEvidence(received);
 }
 
 void RequestTracker::applyWithholding(const WithholdingChange& change) {
     for (const EndpointId endpoint : change.withheld) {
-        environment_.withholdingChanged(endpoint, true);
+        environment_.onWithholdingChanged(endpoint, true);
         updateBan(endpoint);
     }
     for (const EndpointId endpoint : change.released) {
-        environment_.withholdingChanged(endpoint, false);
+        environment_.onWithholdingChanged(endpoint, false);
         updateBan(endpoint);
     }
 }
@@ -279,7 +279,7 @@
 }
 
 // Half of the longest retry delay that the settings allow.
-Micros RequestTracker::retryAfterAdvice() const {
+Micros RequestTracker::defaultRetryAfter() const {
     const RequestLimits& limits = settings_.settings.limits;
     return limits.sendRetryAfter ? limits.maxRetryAfter / 2 : Micros{0};
 }
@@ -310,7 +310,7 @@
         [](const CancelAttempt&) {},  // the owner cancels the attempt because of the accompanying decision
         [this](const MigrateConnection& migrate) { requestMigration(migrate.request); },
         [this](const StartHealthCheck& start) { environment_.startHealthCheck(start.endpoint); },
-        [this](const WatchEndpoints&) { environment_.watchList(); },
+        [this](const WatchEndpoints&) { environment_.startWatchingEndpointList(); },
         [this](const SetTimer& timer) { timers_.add(environment_.now() + timer.after, timer.token); },
         [](const Log&) {},
     };
--- a/src/requests/request_tracker.hpp
+++ b/src/requests/request_tracker.hpp
@@ -46,7 +46,7 @@
     // Applies new settings immediately. Requests in flight keep the rules of their class.
     void applySettings(NodeSettings settings);
     // Runs the timers that are due and removes expired drain evidence. Returns the time of the next call.
-    Time tick();
+    Time runDueTimers();
     // The state that the successor continues with after a hot restart.
     ExportedState exportState() const;
     // Continues with the state of the predecessor. Must be called after start().
@@ -60,7 +60,7 @@
     // Whether the attempt at the endpoint may still start. Since the decision, the endpoint may have become
     // unavailable in the list, banned or withheld, it may have restarted, or the decision may have expired.
     // Must be checked before the first byte is sent.
-    bool isStillValid(const TrackedRequest& request, EndpointId endpoint) const;
+    bool isAttemptStillValid(const TrackedRequest& request, EndpointId endpoint) const;
     // Fails a request whose connection is not established yet, and cancels its attempt.
     void abandon(TrackedRequest& request);
 
@@ -75,7 +75,7 @@
     void connectionEnded(TrackedRequest& request, Outcome outcome, const std::optional<LoadReport>& report);
     // `figure` is the number on an endpoint's load line: the connection's load in microseconds of work per
     // second, or the delay of its messages in milliseconds.
-    void loadFigureReceived(TrackedRequest& request, double figure);
+    void loadLineReceived(TrackedRequest& request, double figure);
     void messageDelayMeasured(TrackedRequest& request, Micros delay);
 
     // ---- reports on endpoints ----
@@ -104,13 +104,13 @@
     // Whether the endpoint is eligible for new connections: ready in the list, not banned and not withheld.
     bool accepts(EndpointId endpoint) const;
     std::size_t listedEndpointCount() const { return endpoints_.listedCount(); }
-    std::size_t avoidedEndpointCount() const { return engine_->avoidedEndpointCount(); }
+    std::size_t excludedEndpointCount() const { return engine_->excludedEndpointCount(); }
     // Whether the current settings name the class.
     bool knowsRequestClass(std::string_view name) const { return configuredClasses_.contains(name); }
     // The longest request timeout of the classes that the current settings name.
     Micros longestRequestTimeout() const;
     // The Retry-After delay for requests that the node rejects without a decision; 0: none.
-    Micros retryAfterAdvice() const;
+    Micros defaultRetryAfter() const;
     bool wantsLoadReports() const { return settings_.settings.loadReportMode != LoadReportMode::None; }
     Micros connectTimeout() const { return settings_.settings.limits.connectTimeout; }
     Micros idleTimeout() const { return settings_.idleTimeout; }
--- a/src/requests/tracked_request.hpp
+++ b/src/requests/tracked_request.hpp
@@ -38,7 +38,7 @@
     ~TrackedRequest();
 
     // Whether there is a decision to take. A decision that arrives during an attempt cancels the attempt.
-    bool hasDecision() const { return decision_.has_value(); }
+    bool hasPendingDecision() const { return decision_.has_value(); }
     // Whether the decision engine migrates the connection: the owner sends MOVE and the client reconnects.
     bool shouldMigrate() const { return shouldMigrate_; }
     // The endpoint of the latest attempt.
--- a/src/requests/tracker_environment.hpp
+++ b/src/requests/tracker_environment.hpp
@@ -18,10 +18,10 @@
     virtual Time now() const = 0;
     virtual void startHealthCheck(EndpointId endpoint) = 0;
     // Requests the endpoint list and opens a watch on it.
-    virtual void watchList() = 0;
+    virtual void startWatchingEndpointList() = 0;
     // Called when the tracker starts or stops withholding an endpoint from new connections because of drain
     // evidence (see membership/drain_evidence.hpp).
-    virtual void withholdingChanged(EndpointId /*endpoint*/, bool /*withheld*/) {}
+    virtual void onWithholdingChanged(EndpointId /*endpoint*/, bool /*withheld*/) {}
 };
 
 }  // namespace ivyreel
--- a/src/simulator/event_decoder.cpp
+++ b/src/simulator/event_decoder.cpp
@@ -55,7 +55,7 @@
 
 EndpointEntry decodeEndpointEntry(FrameReader& fields) {
     EndpointEntry endpoint;
-    endpoint.capacityUnits = static_cast<double>(fields.f32());
+    endpoint.listedCapacity = static_cast<double>(fields.f32());
     endpoint.kind = KindIndex{fields.u16()};
     endpoint.id = fields.endpoint();
     endpoint.zone = ZoneIndex{fields.u16()};
@@ -82,7 +82,7 @@
 
 void setRequestFlags(RequestArrived& request, std::uint8_t flags, std::uint32_t loadHint) {
     if ((flags & kHasLoadHint) != 0) request.loadHint = static_cast<double>(loadHint);
-    request.midFlow = (flags & kMidFlow) != 0;
+    request.continuesFlow = (flags & kMidFlow) != 0;
     request.reconnecting = (flags & kReconnecting) != 0;
 }
 
@@ -92,7 +92,7 @@
     event.group = GroupId{fields.u64()};
     const std::uint8_t flags = fields.u8();
     event.requestClass = RequestClassIndex{fields.u16()};
-    event.key = FlowKey{fields.u64()};
+    event.flowKey = FlowKey{fields.u64()};
     event.tenant = TenantIndex{fields.u32()};
     const std::uint32_t loadHint = fields.u32();
     event.clientTimeout = decodeDuration(fields);
@@ -104,7 +104,7 @@
     ConnectionResumed event;
     event.request.request = RequestId{fields.u64()};
     const std::uint8_t flags = fields.u8();
-    event.request.key = FlowKey{fields.u64()};
+    event.request.flowKey = FlowKey{fields.u64()};
     event.endpoint = fields.endpoint();
     event.request.requestClass = RequestClassIndex{fields.u16()};
     event.request.clientTimeout = decodeDuration(fields);
--- a/src/util/random.hpp
+++ b/src/util/random.hpp
@@ -6,7 +6,7 @@
 namespace ivyreel {
 
 // A 64-bit hash: the finaliser of SplitMix64.
-inline std::uint64_t mix(std::uint64_t x) {
+inline std::uint64_t hash64(std::uint64_t x) {
     x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27U)) * 0x94d049bb133111ebULL;
     return x ^ (x >> 31U);
@@ -21,7 +21,7 @@
 class SplitMix64 {
   public:
     explicit SplitMix64(std::uint64_t seed) : state_(seed) {}
-    std::uint64_t bits() { return mix(state_ += 0x9e3779b97f4a7c15ULL); }
+    std::uint64_t bits() { return hash64(state_ += 0x9e3779b97f4a7c15ULL); }
     double next() { return unitInterval(bits()); }
 
   private:
--- a/tests/admin_api_test.cpp
+++ b/tests/admin_api_test.cpp
@@ -56,7 +56,7 @@
     metrics.confLoaded = 1;
     const std::string text = metrics.exposition({.currentConnections = 14,
                                                  .listedEndpoints = 5,
-                                                 .avoidedEndpoints = 1,
+                                                 .excludedEndpoints = 1,
                                                  .listAgeMs = 7,
                                                  .listStaleMs = 0});
     for (const std::string_view line :
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -87,11 +87,11 @@
     EXPECT_EQ(ends.client.line(), "BYE");
     ends.client.close();
     TestConnection failed = node.client(newOpeningLine());
-    server.next().connection.send("ERR\r\n");
+    server.nextOpened().connection.send("ERR\r\n");
     EXPECT_EQ(failed.line(), "ERR");
     failed.close();
     TestConnection broken = node.client(newOpeningLine());
-    server.next().connection.reset();
+    server.nextOpened().connection.reset();
     EXPECT_EQ(broken.line(), "ERR");
     broken.close();
     TestConnection bad = node.client("OPEN 1 2 c=chat,d=never\r\n");
@@ -99,7 +99,7 @@
     TestConnection unread = node.client("OPEN what\r\n");
     EXPECT_EQ(unread.line(), "ERR");
     TestConnection left = node.client(newOpeningLine());
-    auto out = server.next();
+    auto out = server.nextOpened();
     left.close();
     expectClosed(out.connection);
     EXPECT_EQ(node.adminRequest("POST", "/-/hosts/s-1/disable").first, 200);
@@ -174,7 +174,7 @@
     for (int i = 0; i < 10; ++i) {
         establishConnection(node, two);
     }
-    EXPECT_TRUE(one.idle());
+    EXPECT_TRUE(one.hasNoQueuedConnection());
     EXPECT_EQ(node.adminRequest("POST", "/-/hosts/s-1/enable").first, 200);
     EXPECT_EQ(node.adminRequest("POST", "/-/hosts/s-2/disable").first, 200);
     establishConnection(node, one);
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -21,21 +21,22 @@
 // Makes no decisions. The test sets whether earlier decisions are still valid.
 class SilentEngine final : public DecisionEngine {
   public:
-    explicit SilentEngine(const bool& isStillValid) : isStillValid_(isStillValid) {}
+    explicit SilentEngine(const bool& isAttemptStillValid) : isAttemptStillValid_(isAttemptStillValid) {}
     void handle(Time, const Event&, std::vector<Action>&) override {}
-    bool isStillValid(Time, RequestId) const override { return isStillValid_; }
+    bool isAttemptStillValid(Time, RequestId) const override { return isAttemptStillValid_; }
 
   private:
-    const bool& isStillValid_;
+    const bool& isAttemptStillValid_;
 };
 
 // An endpoint, which the test may list, and the client of one attempt.
 struct AttemptFixture : TrackerEnvironment {
     Scheduler scheduler;
     Metrics metrics;
-    bool isStillValid = true;
-    RequestTracker tracker{settings(), *this,
-                           [this](const Settings&) { return std::make_unique<SilentEngine>(isStillValid); }};
+    bool isAttemptStillValid = true;
+    RequestTracker tracker{settings(), *this, [this](const Settings&) {
+                               return std::make_unique<SilentEngine>(isAttemptStillValid);
+                           }};
     EndpointConnector connector{tracker, metrics};
     Signal listening{scheduler};
     Socket listener{Socket::listenOn(listening, *Address::parse("127.0.0.1:0"))};
@@ -58,11 +59,11 @@
 
     Time now() const override { return scheduler.now(); }
     void startHealthCheck(EndpointId) override {}
-    void watchList() override {}
+    void startWatchingEndpointList() override {}
 
     void list(Availability availability) {
         tracker.endpointListReceived(true, {MemberEntry{"s-1", "", "", 0, 1.0, availability, 0s}});
-        connector.setAddress(endpointIdOf("s-1"), listener.local());
+        connector.setAddress(endpointIdOf("s-1"), listener.localAddress());
     }
 
     Task<void> attempt(std::optional<AttemptResult>& result, bool resumed) {
@@ -89,21 +90,21 @@
     // Accepts the connection, reads one line and sends the answer.
     Task<void> serveEndpoint(std::string& received, std::string answer) {
         int descriptor = -1;
-        while (listener.accept(descriptor) != Socket::Accepting::Taken) {
+        while (listener.accept(descriptor) != Socket::AcceptResult::Accepted) {
             co_await listening.wait();
         }
         Signal signal{scheduler};
         Connection connection{Socket{signal, descriptor}};
-        while (!firstLine(connection.in.view()) && !connection.over()) {
-            connection.fill();
-            if (connection.in.empty() && !connection.over()) co_await signal.wait();
+        while (!firstLine(connection.input.view()) && !connection.inputEnded()) {
+            connection.receive();
+            if (connection.input.empty() && !connection.inputEnded()) co_await signal.wait();
         }
-        received = std::string(connection.in.view());
+        received = std::string(connection.input.view());
         std::size_t sent = 0;
         connection.send(answer, sent);
-        while (!connection.over()) {
+        while (!connection.inputEnded()) {
             co_await signal.wait();
-            connection.fill();
+            connection.receive();
         }
     }
 };
@@ -137,7 +138,7 @@
 TEST(ConnectionAttempt, SendsNothingWhenTheDecisionIsNoLongerValid) {
     AttemptFixture fixture;
     fixture.list(Availability::Ready);
-    fixture.isStillValid = false;
+    fixture.isAttemptStillValid = false;
     std::string received = "(nothing yet)";
     fixture.scheduler.spawn(fixture.serveEndpoint(received, ""));
     const auto result = fixture.runAttempt();
--- a/tests/call_policy_test.cpp
+++ b/tests/call_policy_test.cpp
@@ -51,7 +51,7 @@
     DelayRange range;
     for (int seed = 0; seed < kSeeds; ++seed) {
         CallPolicy policy{static_cast<std::uint64_t>(seed)};
-        policy.setFleetSize(fleetSize);
+        policy.setNodeCount(fleetSize);
         range.add(policy.nextRetry(end).delay);
     }
     return range;
@@ -142,7 +142,7 @@
     DelayRange moved;
     for (int seed = 0; seed < kSeeds; ++seed) {
         CallPolicy policy{static_cast<std::uint64_t>(seed)};
-        policy.setFleetSize(350);
+        policy.setNodeCount(350);
         moved.add(policy.delayAfterAddressChange());
     }
     EXPECT_LE(moved.max, 500ms);
@@ -220,8 +220,8 @@
 // Changes of a pushed list must be applied within the grace period.
 TEST(CallPolicy, PushedListIsRetriedWithinGrace) {
     CallPolicy policy{7};
-    policy.setFleetSize(350);
-    policy.setPushGrace(100ms);
+    policy.setNodeCount(350);
+    policy.setPushDeadline(100ms);
     for (int i = 0; i < 20; ++i) {
         EXPECT_EQ(policy.nextRetry({CallFailure::WatchEnded, 1ms, 2s}).delay, 0ms);
         EXPECT_EQ(policy.nextRetry({CallFailure::HeartbeatTimeout, 1ms, 2s}).delay, 0ms);
--- a/tests/decision/decision_digest_test.cpp
+++ b/tests/decision/decision_digest_test.cpp
@@ -118,7 +118,7 @@
     GeneratedCase c{"endpoints of eighty cores, coarse clock, one attempt, long slow start", 8,
                     caseSettings(50)};
     c.settings.weightKind = WeightKind::Nominal;
-    c.settings.resolution = 150ms;
+    c.settings.eventResolution = 150ms;
     c.settings.limits.maxAttempts = 1;
     c.settings.operatingLimits.slowStartDuration = 30s;
     c.capacityUnits = 80.0;
--- a/tests/decision/decision_engine_driver.hpp
+++ b/tests/decision/decision_engine_driver.hpp
@@ -165,7 +165,7 @@
     }
 
     // Whether the request's last attempt may still be started.
-    bool isStillValid(RequestId request) const { return engine_->isStillValid(now_, request); }
+    bool isAttemptStillValid(RequestId request) const { return engine_->isAttemptStillValid(now_, request); }
 
     // Reports that the last attempt of the request established a connection.
     void establishConnection(RequestId request) {
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -87,9 +87,9 @@
         DecisionEngineDriver d = makeFleet(settings, 10, 0.4);
         RequestArrived request;
         request.request = RequestId{1};
-        request.key = FlowKey{4242};
+        request.flowKey = FlowKey{4242};
         request.clientTimeout = 3s;
-        request.midFlow = true;
+        request.continuesFlow = true;
         d.deliver(request);
         if (target == 0) target = d.target(RequestId{1});
         EXPECT_EQ(d.target(RequestId{1}), target);
--- a/tests/decision/decision_fixture.hpp
+++ b/tests/decision/decision_fixture.hpp
@@ -16,7 +16,7 @@
 inline constexpr double kNaN = std::numeric_limits<double>::quiet_NaN();
 
 // The engine state that the modules refer to.
-struct PartsFixture {
+struct DecisionFixture {
     Settings settings = defaultSettings();
     EndpointTable endpoints;
     SaturationThreshold saturationThreshold{settings};
@@ -34,7 +34,7 @@
         Endpoint& reporting = endpoint(id);
         reporting.reported = true;
         reporting.reportedAt = at;
-        reporting.load = loadOverCapacity;
+        reporting.loadOverCapacity = loadOverCapacity;
         reporting.utilisation = static_cast<int>(loadOverCapacity * kFullUtilisation);
         return reporting;
     }
--- a/tests/decision/decision_hash.hpp
+++ b/tests/decision/decision_hash.hpp
@@ -52,7 +52,7 @@
     void add(const LearnedState& learned) {
         const LearnedFleetState& fleet = learned.fleet;
         addAll(fleet.saturationThreshold, fleet.workSeconds, fleet.loadSeconds, fleet.connectionSeconds,
-               fleet.arrivalRate, fleet.setupMicros, fleet.typicalSetupMicros, fleet.typicalLoad);
+               fleet.arrivalRate, fleet.meanSetupMicros, fleet.typicalSetupMicros, fleet.typicalLoad);
         add(std::uint64_t{fleet.meanLoadByClass.size()});
         for (const double load : fleet.meanLoadByClass)
             add(load);
@@ -60,9 +60,10 @@
         for (const LearnedState::EndpointRecord& record : learned.endpoints) {
             const LearnedEndpointState& endpoint = record.state;
             addAll(record.id, record.startedAt, endpoint.reported, endpoint.reportedAt, endpoint.utilisation,
-                   endpoint.load, endpoint.activeRequests, endpoint.slowdown, endpoint.setupSlowdown);
+                   endpoint.loadOverCapacity, endpoint.activeRequests, endpoint.slowdown,
+                   endpoint.setupSlowdown);
             addAll(endpoint.roundTripMicros, endpoint.healthCheckFailures, endpoint.successRate,
-                   endpoint.lastLateMessageAt, endpoint.slowStartTurnsFrom, endpoint.nextMigrationAt);
+                   endpoint.lastLateMessageAt, endpoint.slowStartSlotsUsedUntil, endpoint.nextMigrationAt);
         }
     }
 
--- a/tests/decision/endpoint_table_test.cpp
+++ b/tests/decision/endpoint_table_test.cpp
@@ -106,21 +106,21 @@
 
 EndpointEntry entryOfSize(std::uint64_t id, double capacityUnits) {
     EndpointEntry entry = endpointEntry(id);
-    entry.capacityUnits = capacityUnits;
+    entry.listedCapacity = capacityUnits;
     return entry;
 }
 
 TEST(EndpointTable, FindsNothingInAnEmptyTable) {
     EndpointTable table;
     EXPECT_EQ(table.find(EndpointId{1}), nullptr);
-    EXPECT_EQ(table.avoidedCount(), 0U);
+    EXPECT_EQ(table.excludedCount(), 0U);
     table.setBanned(EndpointId{1}, false);
     table.removeSendsBefore(kNow);
     EXPECT_EQ(table.size(), 0U);
 }
 
 TEST(EndpointTable, IsOrderedByIdWhateverTheOrderOfTheList) {
-    PartsFixture f;
+    DecisionFixture f;
     f.list({endpointEntry(5), endpointEntry(1), endpointEntry(9), endpointEntry(3), endpointEntry(5)});
     EXPECT_EQ(idsOf(f.endpoints), (std::vector<std::uint64_t>{1, 3, 5, 9}));
     for (const std::uint64_t id : {1U, 3U, 5U, 9U}) {
@@ -130,19 +130,19 @@
 }
 
 TEST(EndpointTable, KeepsRemovedEndpointOnlyWhileItHasConnections) {
-    PartsFixture f;
+    DecisionFixture f;
     f.list({endpointEntry(1), endpointEntry(2), endpointEntry(3)});
-    f.endpoint(2).ownConnections = 1;
+    f.endpoint(2).connectionsFromThisNode = 1;
     f.list({endpointEntry(3)});
     EXPECT_EQ(idsOf(f.endpoints), (std::vector<std::uint64_t>{2, 3}));
     EXPECT_FALSE(f.endpoints.isReady(f.endpoint(2)));
-    f.endpoint(2).ownConnections = 0;
+    f.endpoint(2).connectionsFromThisNode = 0;
     f.list({endpointEntry(3)});
     EXPECT_EQ(idsOf(f.endpoints), (std::vector<std::uint64_t>{3}));
 }
 
 TEST(EndpointTable, DeltaChangesOnlyTheListedEndpoints) {
-    PartsFixture f;
+    DecisionFixture f;
     f.list({endpointEntry(1), endpointEntry(2)});
     EndpointEntry gone = endpointEntry(1);
     gone.availability = Availability::Gone;
@@ -151,14 +151,14 @@
 }
 
 TEST(EndpointTable, RestartKeepsOwnConnectionsOnly) {
-    PartsFixture f;
+    DecisionFixture f;
     f.list({endpointEntry(1)});
     Endpoint& before = f.report(1, 0.9);
     before.healthCheckFailures = 5;
     before.slowdown = 4.0;
     before.recentSends.push_back({RequestId{1}, kNow, 1.0, false});
-    before.ownConnections = 3;
-    before.ownLoad = 120'000;
+    before.connectionsFromThisNode = 3;
+    before.loadFromThisNode = 120'000;
     EndpointEntry restarted = endpointEntry(1);
     restarted.startedAt = kNow - 2s;
     f.list({restarted});
@@ -167,41 +167,41 @@
     EXPECT_EQ(after.healthCheckFailures, 0);
     EXPECT_EQ(after.slowdown, 1.0);
     EXPECT_TRUE(after.recentSends.empty());
-    EXPECT_EQ(after.ownConnections, 3);
-    EXPECT_EQ(after.ownLoad, 120'000);
+    EXPECT_EQ(after.connectionsFromThisNode, 3);
+    EXPECT_EQ(after.loadFromThisNode, 120'000);
     EXPECT_EQ(after.warmingUpSince, kNow - 2s);
 }
 
 TEST(EndpointTable, SlowStartBeginsNoLaterThanNowAndItsTurnsNoEarlierThanTheNode) {
-    PartsFixture f;
+    DecisionFixture f;
     EndpointEntry future = endpointEntry(1);
     future.startedAt = kNow + 3600s;
     EndpointEntry past = endpointEntry(2);
     past.startedAt = kNow - 20s;
     f.endpoints.apply({EndpointListKind::Full, {future, past}}, WeightKind::None, kNow, kNow - 5s);
     EXPECT_EQ(f.endpoint(1).warmingUpSince, kNow);
-    EXPECT_EQ(f.endpoint(1).slowStartTurnsFrom, kNow);
+    EXPECT_EQ(f.endpoint(1).slowStartSlotsUsedUntil, kNow);
     EXPECT_EQ(f.endpoint(2).warmingUpSince, kNow - 20s);
-    EXPECT_EQ(f.endpoint(2).slowStartTurnsFrom, kNow - 5s);
+    EXPECT_EQ(f.endpoint(2).slowStartSlotsUsedUntil, kNow - 5s);
 }
 
 TEST(EndpointTable, BannedAndUnhealthyEndpointsAreAvoided) {
-    PartsFixture f;
+    DecisionFixture f;
     f.list({endpointEntry(1), endpointEntry(2), endpointEntry(3)});
     f.endpoints.setBanned(EndpointId{1}, true);
     f.endpoints.setBanned(EndpointId{99}, true);
     f.endpoint(2).healthCheckFailures = kUnhealthyAfterFailures - 1;
-    EXPECT_EQ(f.endpoints.avoidedCount(), 1U) << "A ban of an unknown endpoint does not count.";
+    EXPECT_EQ(f.endpoints.excludedCount(), 1U) << "A ban of an unknown endpoint does not count.";
     EXPECT_TRUE(f.endpoints.isUsable(f.endpoint(2)));
     f.endpoint(2).healthCheckFailures = kUnhealthyAfterFailures;
     EXPECT_TRUE(f.endpoints.isReady(f.endpoint(2)));
     EXPECT_FALSE(f.endpoints.isUsable(f.endpoint(2)));
     EXPECT_FALSE(f.endpoints.isReady(f.endpoint(1)));
-    EXPECT_EQ(f.endpoints.avoidedCount(), 2U);
+    EXPECT_EQ(f.endpoints.excludedCount(), 2U);
 }
 
 TEST(EndpointTable, SizesAreRelativeToTheMean) {
-    PartsFixture f;
+    DecisionFixture f;
     f.list({entryOfSize(1, 2.0), entryOfSize(2, 6.0)}, WeightKind::Nominal);
     EXPECT_DOUBLE_EQ(f.endpoints.meanListedSize(), 4.0);
     EXPECT_DOUBLE_EQ(f.endpoints.relativeSize(f.endpoint(1)), 0.5);
@@ -213,7 +213,7 @@
 }
 
 TEST(EndpointTable, InvalidSizesCountAsAverage) {
-    PartsFixture f;
+    DecisionFixture f;
     f.list({entryOfSize(1, kNaN), entryOfSize(2, -4.0), entryOfSize(3, 0.0), entryOfSize(4, 4.0)},
            WeightKind::Nominal);
     EXPECT_DOUBLE_EQ(f.endpoints.meanListedSize(), 1.0);
@@ -223,7 +223,7 @@
 }
 
 TEST(EndpointTable, RemovesOldSends) {
-    PartsFixture f;
+    DecisionFixture f;
     f.list({endpointEntry(1)});
     for (const Time at : {Time{kNow - 1us}, kNow, Time{kNow + 1us}})
         f.endpoint(1).recentSends.push_back({RequestId{1}, at, 1.0, false});
--- a/tests/decision/event_generator.cpp
+++ b/tests/decision/event_generator.cpp
@@ -66,10 +66,10 @@
 
 void EventGenerator::digestState() {
     hash_.add(engine_->learnedState(now_));
-    hash_.add(std::uint64_t{engine_->avoidedEndpointCount()});
-    hash_.add(engine_->isStillValid(now_, RequestId{lastRequestId_ + 1000}));
+    hash_.add(std::uint64_t{engine_->excludedEndpointCount()});
+    hash_.add(engine_->isAttemptStillValid(now_, RequestId{lastRequestId_ + 1000}));
     for (const auto& [id, request] : requests_)
-        if (request.attempting) hash_.add(engine_->isStillValid(now_, id));
+        if (request.attempting) hash_.add(engine_->isAttemptStillValid(now_, id));
     schedule(1s, [this] { digestState(); });
 }
 
--- a/tests/decision/fleet_snapshot_test.cpp
+++ b/tests/decision/fleet_snapshot_test.cpp
@@ -11,11 +11,11 @@
 namespace ivyreel::test {
 namespace {
 
-struct SnapshotFixture : PartsFixture {
-    FleetMonitor monitor;
+struct SnapshotFixture : DecisionFixture {
+    FleetSnapshotCache cache;
     ArrivalRate arrivals;
 
-    const FleetSnapshot& refresh(Time now = kNow) { return monitor.refresh(context(now), arrivals); }
+    const FleetSnapshot& refresh(Time now = kNow) { return cache.refresh(context(now), arrivals); }
 };
 
 TEST(FleetSnapshot, OfAnEmptyFleetIsValid) {
@@ -23,7 +23,7 @@
     const FleetSnapshot& snapshot = f.refresh();
     EXPECT_EQ(snapshot.meanUtilisation, 50.0);
     EXPECT_EQ(snapshot.spareUtilisation, 0.0);
-    EXPECT_EQ(snapshot.departedLoad, 0.0);
+    EXPECT_EQ(snapshot.loadFromOtherNodes, 0.0);
     EXPECT_EQ(snapshot.sendRate, 0.0);
     EXPECT_TRUE(std::isfinite(snapshot.capacityPerLoad));
 }
@@ -65,7 +65,7 @@
     f.report(1, 0.6);
     EXPECT_DOUBLE_EQ(f.refresh().meanUtilisation, 20.0)
         << "No time has passed, and the snapshot was not invalidated.";
-    f.monitor.invalidate();
+    f.cache.invalidate();
     EXPECT_DOUBLE_EQ(f.refresh().meanUtilisation, 60.0);
     f.report(1, 0.4);
     EXPECT_DOUBLE_EQ(f.refresh(kNow + 1us).meanUtilisation, 40.0) << "Time has passed.";
@@ -76,9 +76,10 @@
     f.list({endpointEntry(1), endpointEntry(2)});
     const RecentSend reconnected{RequestId{1}, kNow, 50'000, true};
     f.endpoint(1).recentSends.push_back(reconnected);
-    f.monitor.recordSend(reconnected);
+    f.cache.recordSend(reconnected);
     const FleetSnapshot& snapshot = f.refresh();
-    EXPECT_DOUBLE_EQ(snapshot.departedLoad, 25'000) << "The departed load is the mean per endpoint.";
+    EXPECT_DOUBLE_EQ(snapshot.loadFromOtherNodes, 25'000)
+        << "The load from other nodes is the mean per endpoint.";
     EXPECT_EQ(snapshot.sendRate, 0.0);
     EXPECT_EQ(snapshot.recentSendCount, 0);
 }
@@ -99,12 +100,12 @@
     for (int i = 0; i < 600; ++i) {
         now += 1s;
         Endpoint& endpoint = f.report(1, 0.5, now);
-        endpoint.ownConnections = 100;
-        endpoint.ownLoad = 4e6;
-        f.monitor.invalidate();
+        endpoint.connectionsFromThisNode = 100;
+        endpoint.loadFromThisNode = 4e6;
+        f.cache.invalidate();
         f.refresh(now);
     }
-    EXPECT_NEAR(1.0 / f.monitor.snapshot().capacityPerLoad, 8e6, 0.3e6);
+    EXPECT_NEAR(1.0 / f.cache.snapshot().capacityPerLoad, 8e6, 0.3e6);
 }
 
 }  // namespace
--- a/tests/decision/generated_changes.cpp
+++ b/tests/decision/generated_changes.cpp
@@ -32,7 +32,7 @@
     schedule(micros(random_.between(0.0, 2.0 * case_.secondsPerChange)), [this] { applyRandomChange(); });
     if (settings_.discoveryMode == DiscoveryMode::Poll && random_.chance(0.4))
         return deliverEndpointList(EndpointListKind::Failed);
-    SimulatedEndpoint& endpoint = fleet_.any();
+    SimulatedEndpoint& endpoint = fleet_.randomEndpoint();
     changeEndpoint(endpoint, random_.below(static_cast<std::uint64_t>(Change::Count)));
 }
 
@@ -108,10 +108,10 @@
 }
 
 void EventGenerator::listInvalidCapacity(SimulatedEndpoint& endpoint) {
-    const double valid = endpoint.entry.capacityUnits;
-    endpoint.entry.capacityUnits = random_.chance(0.3) ? kNotANumber : random_.chance(0.5) ? -1.0 : 0.0;
+    const double valid = endpoint.entry.listedCapacity;
+    endpoint.entry.listedCapacity = random_.chance(0.3) ? kNaN : random_.chance(0.5) ? -1.0 : 0.0;
     deliverEndpointList(endpoint);
-    endpoint.entry.capacityUnits = valid;
+    endpoint.entry.listedCapacity = valid;
     deliverEndpointList(endpoint);
 }
 
--- a/tests/decision/generated_requests.cpp
+++ b/tests/decision/generated_requests.cpp
@@ -38,11 +38,11 @@
         static_cast<std::uint32_t>(random_.chance(0.6) ? 0 : random_.below(settings_.tenants.size() + 1))};
     if (random_.chance(0.7)) request.group = GroupId{1 + random_.below(8)};
     if (random_.chance(case_.distinctGroups)) request.group = GroupId{1'000 + lastRequestId_};
-    if (random_.chance(0.5)) request.key = FlowKey{1 + random_.below(20)};
+    if (random_.chance(0.5)) request.flowKey = FlowKey{1 + random_.below(20)};
     if (random_.chance(0.3)) request.loadHint = random_.between(5'000, 300'000);
-    if (random_.chance(0.01)) request.loadHint = random_.chance(0.5) ? kNotANumber : -5.0;
+    if (random_.chance(0.01)) request.loadHint = random_.chance(0.5) ? kNaN : -5.0;
     request.clientTimeout = micros(random_.between(0.1, 3.0));
-    request.midFlow = random_.chance(0.05);
+    request.continuesFlow = random_.chance(0.05);
     request.reconnecting = random_.chance(0.2);
     return request;
 }
@@ -82,7 +82,7 @@
 }
 
 void EventGenerator::completeAttempt(RequestId id, bool timedOut, Micros elapsed) {
-    const bool valid = engine_->isStillValid(now_, id);
+    const bool valid = engine_->isAttemptStillValid(now_, id);
     hash_.add(valid);
     if (timedOut) return endAttempt(id, Outcome::Timeout, elapsed, false);
     if (!valid && random_.chance(0.5)) return endAttempt(id, Outcome::NotSent, elapsed, false);
@@ -189,11 +189,11 @@
 void EventGenerator::deliverInvalidEvents() {
     const RequestId unknown{lastRequestId_ + 1'000'000};
     const RequestId some = requests_.empty() ? unknown : requests_.begin()->first;
-    handle(ConnectionLoadMeasured{some, EndpointId{1}, random_.chance(0.5) ? kNotANumber : -7.0});
+    handle(ConnectionLoadMeasured{some, EndpointId{1}, random_.chance(0.5) ? kNaN : -7.0});
     handle(ConnectionLoadMeasured{some, EndpointId{1}, 3e6});
     handle(ConnectionLoadMeasured{unknown, EndpointId{1}, 5.0});
     handle(MessageDelayMeasured{some, EndpointId{99'999}, 500.0});
-    handle(MessageDelayMeasured{some, EndpointId{1}, kNotANumber});
+    handle(MessageDelayMeasured{some, EndpointId{1}, kNaN});
     handle(ConnectionEstablished{unknown, AttemptIndex{0}, EndpointId{1}, 5ms});
     handle(AttemptEnded{unknown, AttemptIndex{0}, EndpointId{99'999}, Outcome::Ok, 5ms, true, std::nullopt});
     handle(ClientDisconnected{unknown});
--- a/tests/decision/health_check_schedule_test.cpp
+++ b/tests/decision/health_check_schedule_test.cpp
@@ -222,9 +222,9 @@
 TEST(HealthCheckSchedule, WithoutIntervalOnlyEndpointsInUseOrFailingAreChecked) {
     Endpoint endpoint = listedEndpoint();
     EXPECT_FALSE(isHealthCheckDue(endpoint, std::nullopt, kNow));
-    endpoint.ownConnections = 1;
+    endpoint.connectionsFromThisNode = 1;
     EXPECT_TRUE(isHealthCheckDue(endpoint, std::nullopt, kNow));
-    endpoint.ownConnections = 0;
+    endpoint.connectionsFromThisNode = 0;
     endpoint.healthCheckFailures = 1;
     EXPECT_TRUE(isHealthCheckDue(endpoint, std::nullopt, kNow));
     endpoint.listed = false;
--- a/tests/decision/kind_capacity_test.cpp
+++ b/tests/decision/kind_capacity_test.cpp
@@ -19,7 +19,7 @@
     Endpoint endpoint;
     endpoint.entry.kind = kind;
     endpoint.activeRequests = connections;
-    endpoint.load = load;
+    endpoint.loadOverCapacity = load;
     for (int i = 0; i < reports; ++i)
         estimate.recordReport(endpoint, 1.0);
 }
--- a/tests/decision/load_polling_test.cpp
+++ b/tests/decision/load_polling_test.cpp
@@ -42,7 +42,7 @@
     Request request;
     for (std::uint64_t id = 1; id <= 4; ++id) {
         EXPECT_TRUE(canBePolled(endpointOf(id), request, settings, kNow)) << id;
-        recordPoll(request, endpointOf(id), kNow);
+        recordLoadPoll(request, endpointOf(id), kNow);
         EXPECT_TRUE(wasPolledFor(request, endpointOf(id)));
     }
     EXPECT_FALSE(wasPolledFor(request, endpointOf(5)));
@@ -53,7 +53,7 @@
     const Settings settings = defaultSettings();
     Endpoint endpoint = endpointOf(1);
     Request request;
-    recordPoll(request, endpoint, kNow);
+    recordLoadPoll(request, endpoint, kNow);
     endpoint.healthCheck.startedAt = kNow;
     endpoint.healthCheck.outstanding = true;
     EXPECT_TRUE(canBePolled(endpoint, request, settings, kNow + 150ms - 1us));
--- a/tests/decision/load_report_handling_test.cpp
+++ b/tests/decision/load_report_handling_test.cpp
@@ -14,7 +14,7 @@
     report.cpuUtilisation = 0.9;
     report.activeRequests = 12;
     EXPECT_TRUE(applyLoadReport(endpoint, report, kNow));
-    EXPECT_DOUBLE_EQ(endpoint.load, 0.617);
+    EXPECT_DOUBLE_EQ(endpoint.loadOverCapacity, 0.617);
     EXPECT_EQ(endpoint.utilisation, 62);
     EXPECT_DOUBLE_EQ(endpoint.activeRequests, 12);
     EXPECT_TRUE(hasFreshReport(endpoint, kNow));
@@ -41,7 +41,7 @@
 TEST(LoadReportHandling, LimitsUtilisationButNotLoad) {
     Endpoint endpoint;
     applyLoadReport(endpoint, loadReport(7.5), kNow);
-    EXPECT_DOUBLE_EQ(endpoint.load, 7.5);
+    EXPECT_DOUBLE_EQ(endpoint.loadOverCapacity, 7.5);
     EXPECT_EQ(endpoint.utilisation, 100);
 }
 
@@ -51,7 +51,7 @@
         LoadReport report = loadReport(invalid);
         report.activeRequests = invalid;
         EXPECT_TRUE(applyLoadReport(endpoint, report, kNow));
-        EXPECT_EQ(endpoint.load, 0.0) << invalid;
+        EXPECT_EQ(endpoint.loadOverCapacity, 0.0) << invalid;
         EXPECT_EQ(endpoint.utilisation, 0) << invalid;
         EXPECT_EQ(endpoint.activeRequests, 0.0) << invalid;
     }
--- a/tests/decision/locality_preference_test.cpp
+++ b/tests/decision/locality_preference_test.cpp
@@ -67,7 +67,7 @@
 
 // The weight factor of other zones if the only endpoint in the own zone has this load over capacity.
 double weightAtLoad(double ownLoad, double crossZoneCost = 0.02) {
-    PartsFixture f;
+    DecisionFixture f;
     f.settings.crossZoneCost = crossZoneCost;
     f.list({endpointEntry(1, 0), endpointEntry(2, 1)});
     f.report(1, ownLoad);
@@ -99,7 +99,7 @@
 }
 
 TEST(LocalityPreference, NeedsAUsableEndpointInTheOwnZone) {
-    PartsFixture f;
+    DecisionFixture f;
     const FleetSnapshot fleet;
     const DecisionContext context = f.context();
     const UtilisationEstimate utilisation{context, fleet};
--- a/tests/decision/migration_test.cpp
+++ b/tests/decision/migration_test.cpp
@@ -161,7 +161,7 @@
 // ---- unit tests of migration ----
 
 // One node and three endpoints; all of this node's connections are at endpoint 1.
-struct MigrationFixture : PartsFixture {
+struct MigrationFixture : DecisionFixture {
     FleetSnapshot fleet;
 
     MigrationFixture() {
@@ -172,8 +172,8 @@
         report(1, 1.0);
         report(2, 0.8);
         report(3, 0.8);
-        endpoint(1).ownConnections = 100;
-        endpoint(1).ownLoad = 4e6;
+        endpoint(1).connectionsFromThisNode = 100;
+        endpoint(1).loadFromThisNode = 4e6;
     }
 
     std::optional<double> relief() { return overloadRelief(endpoint(1), context(), fleet); }
@@ -198,7 +198,7 @@
     EXPECT_EQ(f.relief(), std::nullopt);
     f.endpoint(1).nextMigrationAt = kNow;
     EXPECT_NE(f.relief(), std::nullopt);
-    f.endpoint(1).ownConnections = 0;
+    f.endpoint(1).connectionsFromThisNode = 0;
     EXPECT_EQ(f.relief(), std::nullopt);
 }
 
@@ -237,7 +237,7 @@
     EXPECT_EQ(f.evacuation(), std::nullopt);
     f.endpoint(1).healthCheck.consecutiveUnanswered = 3;
     EXPECT_DOUBLE_EQ(*f.evacuation(), 2e6);
-    f.endpoint(1).ownConnections = 0;
+    f.endpoint(1).connectionsFromThisNode = 0;
     EXPECT_EQ(f.evacuation(), std::nullopt);
 }
 
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -48,9 +48,9 @@
 // endpoint.
 Endpoint endpointWithConnections(double reportedLoad) {
     Endpoint endpoint;
-    endpoint.ownConnections = 100;
-    endpoint.ownLoad = 4e6;
-    endpoint.load = reportedLoad;
+    endpoint.connectionsFromThisNode = 100;
+    endpoint.loadFromThisNode = 4e6;
+    endpoint.loadOverCapacity = reportedLoad;
     return endpoint;
 }
 
@@ -120,9 +120,9 @@
 
 TEST(Slowdown, IsNotLearnedWithoutReportedConnections) {
     Endpoint endpoint = endpointWithConnections(5.0);
-    endpoint.ownConnections = 0;
+    endpoint.connectionsFromThisNode = 0;
     EXPECT_EQ(slowdownAfterReports(endpoint, 1), 1.0);
-    endpoint.ownConnections = 1;
+    endpoint.connectionsFromThisNode = 1;
     endpoint.recentSends.push_back({RequestId{1}, kNow, 40'000, false});
     EXPECT_EQ(slowdownAfterReports(endpoint, 1), 1.0)
         << "The only connection is too new to be included in the report.";
@@ -186,7 +186,7 @@
     restored.restore(learned);
     LearnedFleetState again;
     restored.store(again);
-    EXPECT_EQ(again.setupMicros, learned.setupMicros);
+    EXPECT_EQ(again.meanSetupMicros, learned.meanSetupMicros);
     EXPECT_EQ(again.typicalSetupMicros, learned.typicalSetupMicros);
 }
 
--- a/tests/decision/request_table_test.cpp
+++ b/tests/decision/request_table_test.cpp
@@ -53,12 +53,12 @@
     addConnection(endpoint, 30'000);
     addConnection(endpoint, 50'000);
     endpoint.recentSends.push_back({RequestId{1}, kNow, 30'000, false});
-    EXPECT_EQ(endpoint.ownConnections, 2);
-    EXPECT_DOUBLE_EQ(endpoint.ownLoad, 80'000);
-    EXPECT_DOUBLE_EQ(reportedOwnLoad(endpoint), 50'000);
+    EXPECT_EQ(endpoint.connectionsFromThisNode, 2);
+    EXPECT_DOUBLE_EQ(endpoint.loadFromThisNode, 80'000);
+    EXPECT_DOUBLE_EQ(reportedLoadFromThisNode(endpoint), 50'000);
     removeConnection(endpoint, RequestId{1}, 30'000);
     EXPECT_TRUE(endpoint.recentSends.empty());
-    EXPECT_DOUBLE_EQ(endpoint.ownLoad, 50'000);
+    EXPECT_DOUBLE_EQ(endpoint.loadFromThisNode, 50'000);
 }
 
 TEST(EndpointConnections, LeaveNoResidualLoad) {
@@ -66,12 +66,12 @@
     addConnection(endpoint, 30'000);
     addConnection(endpoint, 30'000);
     removeConnection(endpoint, RequestId{1}, 100'000);
-    EXPECT_DOUBLE_EQ(endpoint.ownLoad, 0.0) << "the load is not negative";
+    EXPECT_DOUBLE_EQ(endpoint.loadFromThisNode, 0.0) << "the load is not negative";
     addConnection(endpoint, 30'000.1);
     removeConnection(endpoint, RequestId{2}, 10'000);
     removeConnection(endpoint, RequestId{3}, 10'000);
-    EXPECT_EQ(endpoint.ownConnections, 0);
-    EXPECT_EQ(endpoint.ownLoad, 0.0);
+    EXPECT_EQ(endpoint.connectionsFromThisNode, 0);
+    EXPECT_EQ(endpoint.loadFromThisNode, 0.0);
 }
 
 TEST(EndpointConnections, CountOnlyLoadThatIsNewToTheFleet) {
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -98,13 +98,13 @@
     settings.classes[0].deduplicationWindow = 1s;
     DecisionEngineDriver d = makeDriver(settings, {endpointEntry(1), endpointEntry(2)});
     const RequestId request = d.submitRequest();
-    EXPECT_TRUE(d.isStillValid(request));
+    EXPECT_TRUE(d.isAttemptStillValid(request));
     d.advance(900ms);
     d.endAttempt(request, Outcome::Timeout);
     ASSERT_EQ(d.attempts(request), 2);
-    EXPECT_TRUE(d.isStillValid(request));
+    EXPECT_TRUE(d.isAttemptStillValid(request));
     d.advance(90ms);
-    EXPECT_FALSE(d.isStillValid(request));
+    EXPECT_FALSE(d.isAttemptStillValid(request));
     d.endAttempt(request, Outcome::NotSent);
     EXPECT_EQ(d.attempts(request), 2);
     EXPECT_EQ(d.finalAnswers(request), 1);
@@ -118,18 +118,18 @@
     for (const EndpointEntry& changed : {restarted, draining}) {
         DecisionEngineDriver d = makeDriver(defaultSettings(), {endpointEntry(1)});
         const RequestId request = d.submitRequest();
-        EXPECT_TRUE(d.isStillValid(request));
+        EXPECT_TRUE(d.isAttemptStillValid(request));
         d.updateEndpointList({changed}, EndpointListKind::Delta);
-        EXPECT_FALSE(d.isStillValid(request));
+        EXPECT_FALSE(d.isAttemptStillValid(request));
     }
     DecisionEngineDriver d = makeDriver(defaultSettings(), {endpointEntry(1)});
     const RequestId request = d.submitRequest();
     d.deliver(EndpointBanChanged{EndpointId{1}, true});
-    EXPECT_FALSE(d.isStillValid(request));
+    EXPECT_FALSE(d.isAttemptStillValid(request));
     d.deliver(EndpointBanChanged{EndpointId{1}, false});
-    EXPECT_TRUE(d.isStillValid(request));
+    EXPECT_TRUE(d.isAttemptStillValid(request));
     d.deliver(ClientDisconnected{request});
-    EXPECT_FALSE(d.isStillValid(request));
+    EXPECT_FALSE(d.isAttemptStillValid(request));
 }
 
 // Guards against losing the deduplication scope when the first endpoint leaves the list.
@@ -267,7 +267,7 @@
 
 TEST(RetryPolicy, FinalAnswerDeadlineAllowsForTimerAndEventResolution) {
     Settings settings = defaultSettings();
-    settings.resolution = 50ms;
+    settings.eventResolution = 50ms;
     Request request;
     request.deadline = kNow;
     EXPECT_EQ(finalAnswerDeadline(request, settings), kNow - 100ms);
--- a/tests/decision/saturation_threshold_test.cpp
+++ b/tests/decision/saturation_threshold_test.cpp
@@ -52,8 +52,8 @@
 // An endpoint that has one connection of this node and reports this load over capacity.
 Endpoint loadedEndpoint(double load) {
     Endpoint endpoint;
-    endpoint.ownConnections = 1;
-    endpoint.load = load;
+    endpoint.connectionsFromThisNode = 1;
+    endpoint.loadOverCapacity = load;
     return endpoint;
 }
 
@@ -99,7 +99,7 @@
 TEST(SaturationThreshold, IgnoresEndpointsWithoutOwnConnections) {
     SaturationThreshold threshold{defaultSettings()};
     Endpoint endpoint = loadedEndpoint(0.85);
-    endpoint.ownConnections = 0;
+    endpoint.connectionsFromThisNode = 0;
     threshold.learn(endpoint, kNow);
     EXPECT_DOUBLE_EQ(threshold.value(), 0.85);
 }
--- a/tests/decision/simulated_fleet.cpp
+++ b/tests/decision/simulated_fleet.cpp
@@ -19,7 +19,7 @@
     endpoint.entry.zone = ZoneIndex{static_cast<std::uint32_t>(id % 3)};
     endpoint.entry.kind = KindIndex{static_cast<std::uint32_t>(id % 2)};
     endpoint.entry.cell = CellId{static_cast<std::uint32_t>(id % 4)};
-    endpoint.entry.capacityUnits = settings.capacityUnits * (id % 2 == 0 ? 0.75 : 1.25);
+    endpoint.entry.listedCapacity = settings.capacityUnits * (id % 2 == 0 ? 0.75 : 1.25);
     endpoint.loadOfOtherNodes =
         settings.targetLoad * (1.0 - 1.0 / settings.nodes) * random_.between(0.85, 1.15);
     if (id % 11 == 5) endpoint.errorShare = 0.95;
@@ -32,7 +32,7 @@
     return at == endpoints_.end() ? nullptr : &at->second;
 }
 
-SimulatedEndpoint& SimulatedFleet::any() {
+SimulatedEndpoint& SimulatedFleet::randomEndpoint() {
     auto at = endpoints_.begin();
     std::advance(at, static_cast<std::ptrdiff_t>(random_.below(endpoints_.size())));
     return at->second;
@@ -53,7 +53,7 @@
 
 // Each report contains some of the values, and a few reports contain invalid values.
 LoadReport SimulatedFleet::randomReport(const SimulatedEndpoint& endpoint) {
-    const double capacity = std::max(0.5, endpoint.entry.capacityUnits) * kMicrosPerSecond;
+    const double capacity = std::max(0.5, endpoint.entry.listedCapacity) * kMicrosPerSecond;
     const double noise = random_.between(-0.04, 0.04);
     const double load =
         endpoint.loadOfOtherNodes + endpoint.loadOfThisNode * endpoint.slowness / capacity + noise;
@@ -61,12 +61,11 @@
     const double shape = random_.next();
     if (shape < 0.7) report.loadOverCapacity = load;
     if (shape >= 0.6 && shape < 0.9) report.cpuUtilisation = std::min(1.0, load * 0.9);
-    if (shape > 0.98)
-        report.loadOverCapacity = random_.chance(0.3) ? kNotANumber : random_.between(-1.0, 30.0);
+    if (shape > 0.98) report.loadOverCapacity = random_.chance(0.3) ? kNaN : random_.between(-1.0, 30.0);
     if (random_.chance(0.8))
         report.activeRequests = endpoint.connectionsOfThisNode +
                                 std::floor(endpoint.loadOfOtherNodes * capacity / kMeanConnectionLoad);
-    if (random_.chance(0.01)) report.activeRequests = random_.chance(0.5) ? kNotANumber : -3.0;
+    if (random_.chance(0.01)) report.activeRequests = random_.chance(0.5) ? kNaN : -3.0;
     if (random_.chance(0.2)) report.queuedRequests = 3.0;
     if (random_.chance(0.2)) report.latencyMs = random_.between(1.0, 90.0);
     return report;
--- a/tests/decision/simulated_fleet.hpp
+++ b/tests/decision/simulated_fleet.hpp
@@ -15,7 +15,7 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMeanConnectionLoad = 40'000;  // microseconds of work a second
-constexpr double kNotANumber = std::numeric_limits<double>::quiet_NaN();
+constexpr double kNaN = std::numeric_limits<double>::quiet_NaN();
 
 inline Micros micros(double seconds) {
     return Micros{static_cast<Micros::rep>(seconds * kMicrosPerSecond)};
@@ -60,7 +60,7 @@
     // Returns null if no endpoint of the fleet has this id.
     SimulatedEndpoint* find(EndpointId id);
     // An endpoint selected at random.
-    SimulatedEndpoint& any();
+    SimulatedEndpoint& randomEndpoint();
     std::vector<EndpointEntry> entries() const;
 
     // The endpoint's load report at present, or nothing if it sends none.
--- a/tests/decision/slow_start_fleet_test.cpp
+++ b/tests/decision/slow_start_fleet_test.cpp
@@ -136,7 +136,7 @@
             const bool small = id % 3 == 0;
             endpoint.entry.kind = KindIndex{small ? 1U : 0U};
             endpoint.capacity = large * (small ? 0.5 : 1.0) * uniform(0.9, 1.1);
-            endpoint.entry.capacityUnits = endpoint.capacity / 25.0;
+            endpoint.entry.listedCapacity = endpoint.capacity / 25.0;
             endpoint.isFailing = id % 11 == 0;
             endpoints_.push_back(endpoint);
         }
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -139,7 +139,7 @@
         std::vector<EndpointEntry> entries;
         for (std::uint64_t id = seed + 1; id <= seed + 12; ++id) {
             entries.push_back(endpointEntry(id));
-            entries.back().capacityUnits = capacityUnits;
+            entries.back().listedCapacity = capacityUnits;
             d.setReportedLoad(id, 0.7);
         }
         entries.back().startedAt = d.now();
@@ -175,9 +175,9 @@
     settings.weightKind = WeightKind::Nominal;
     DecisionEngineDriver d{settings};
     std::vector<EndpointEntry> entries{endpointEntry(1), endpointEntry(2), endpointEntry(3)};
-    entries[0].capacityUnits = 0.0;
-    entries[1].capacityUnits = -4.0;
-    entries[2].capacityUnits = 4.0;
+    entries[0].listedCapacity = 0.0;
+    entries[1].listedCapacity = -4.0;
+    entries[2].listedCapacity = 4.0;
     for (const std::uint64_t id : {1U, 2U, 3U}) {
         d.setReportedLoad(id, 0.3);
     }
@@ -271,7 +271,7 @@
 // ---- SlowStart without the engine ----
 
 // One of many nodes, and an endpoint 1 that started at kNow beside a warm endpoint 2.
-struct SlowStartFixture : PartsFixture {
+struct SlowStartFixture : DecisionFixture {
     FleetCapacityEstimate capacity;
     ConnectionLoadEstimate loads;
     KindCapacityEstimate kinds;
@@ -281,9 +281,9 @@
         settings.nodeIndex = nodeIndex;
         EndpointEntry started = endpointEntry(1);
         started.startedAt = kNow;
-        started.capacityUnits = 40.0;
+        started.listedCapacity = 40.0;
         EndpointEntry warm = endpointEntry(2);
-        warm.capacityUnits = 40.0;
+        warm.listedCapacity = 40.0;
         list({started, warm}, WeightKind::Nominal);
     }
 
@@ -342,7 +342,7 @@
 TEST(SlowStartSlots, AreConsumedUpToTheRecordedTime) {
     SlowStartFixture f{1};
     EXPECT_GT(f.slots(kNow + 5s).own, 0.0);
-    f.endpoint(1).slowStartTurnsFrom = kNow + 5s;
+    f.endpoint(1).slowStartSlotsUsedUntil = kNow + 5s;
     EXPECT_EQ(f.slots(kNow + 5s).own, 0.0);
 }
 
@@ -370,7 +370,7 @@
     SlowStartFixture f{1};
     EXPECT_FALSE(f.admits(requestWithLoad(std::nullopt), kNow)) << "no slot is due";
     EXPECT_TRUE(f.admits(requestWithLoad(std::nullopt), kNow + 5s));
-    f.endpoint(1).slowStartTurnsFrom = kNow + 5s;
+    f.endpoint(1).slowStartSlotsUsedUntil = kNow + 5s;
     EXPECT_FALSE(f.admits(requestWithLoad(std::nullopt), kNow + 5s));
 }
 
--- a/tests/decision/timers_test.cpp
+++ b/tests/decision/timers_test.cpp
@@ -10,13 +10,13 @@
 
 TEST(Timers, AreNoShorterThanTheResolution) {
     Settings settings = defaultSettings();
-    settings.resolution = 1ms;
+    settings.eventResolution = 1ms;
     EXPECT_EQ(endpointTimerInterval(settings), 100ms);
     EXPECT_EQ(requestTimerInterval(settings), 20ms);
-    settings.resolution = 50ms;
+    settings.eventResolution = 50ms;
     EXPECT_EQ(endpointTimerInterval(settings), 100ms);
     EXPECT_EQ(requestTimerInterval(settings), 50ms);
-    settings.resolution = 150ms;
+    settings.eventResolution = 150ms;
     EXPECT_EQ(endpointTimerInterval(settings), 150ms);
     EXPECT_EQ(requestTimerInterval(settings), 150ms);
 }
--- a/tests/decision/utilisation_estimate_test.cpp
+++ b/tests/decision/utilisation_estimate_test.cpp
@@ -139,7 +139,7 @@
 // ---- unit tests of utilisation_estimate ----
 
 // One node and one endpoint with a capacity of 10e6 microseconds of work per second.
-struct EstimateFixture : PartsFixture {
+struct EstimateFixture : DecisionFixture {
     FleetSnapshot fleet;
 
     EstimateFixture() {
@@ -185,9 +185,9 @@
 TEST(UtilisationEstimate, StaysBetweenZeroAndFull) {
     EstimateFixture f;
     f.report(1, 0.6);
-    f.fleet.departedLoad = 1e9;
+    f.fleet.loadFromOtherNodes = 1e9;
     EXPECT_DOUBLE_EQ(f.current(), 0.0);
-    f.fleet.departedLoad = 0.0;
+    f.fleet.loadFromOtherNodes = 0.0;
     f.send(1e9);
     EXPECT_DOUBLE_EQ(f.current(), 100.0);
 }
@@ -195,7 +195,7 @@
 TEST(UtilisationEstimate, SubtractsLoadThatDepartedToThisNode) {
     EstimateFixture f;
     f.report(1, 0.6);
-    f.fleet.departedLoad = 1e6;
+    f.fleet.loadFromOtherNodes = 1e6;
     EXPECT_DOUBLE_EQ(f.current(), 50.0);
 }
 
@@ -203,9 +203,9 @@
     EstimateFixture f;
     EXPECT_DOUBLE_EQ(f.added(1e6), 10.0);
     EndpointEntry small = endpointEntry(1);
-    small.capacityUnits = 2.0;
+    small.listedCapacity = 2.0;
     EndpointEntry large = endpointEntry(2);
-    large.capacityUnits = 6.0;
+    large.listedCapacity = 6.0;
     f.list({small, large}, WeightKind::Nominal);
     EXPECT_DOUBLE_EQ(f.added(1e6), 20.0);
     small.startedAt = kNow;
--- a/tests/decision/weighted_selection_test.cpp
+++ b/tests/decision/weighted_selection_test.cpp
@@ -112,7 +112,7 @@
 // ---- WeightedSelection without the engine ----
 
 // One node and three endpoints with fresh reports.
-struct SelectionFixture : PartsFixture {
+struct SelectionFixture : DecisionFixture {
     FleetSnapshot fleet;
     FleetCapacityEstimate capacity;
     ConnectionLoadEstimate loads;
--- a/tests/discovery_load.hpp
+++ b/tests/discovery_load.hpp
@@ -79,7 +79,7 @@
           limits_(limitsFor(load)),
           otherDiscovery_(scheduler_, limits_),
           fleet_(scheduler_, load.followers, discovery_.address(), kSeed) {}
-    ~DiscoveryLoad() { scheduler_.dropTasks(); }
+    ~DiscoveryLoad() { scheduler_.destroyTasks(); }
     DiscoveryLoad(const DiscoveryLoad&) = delete;
     DiscoveryLoad& operator=(const DiscoveryLoad&) = delete;
     DiscoveryLoad(DiscoveryLoad&&) = delete;
--- a/tests/discovery_load_test.cpp
+++ b/tests/discovery_load_test.cpp
@@ -170,7 +170,7 @@
         other.writeEntry("server-2", "active");
         const std::uint64_t version = other.writeEntry("server-1", "leaving");
         const Time movedAt = l.now();
-        l.fleet().moveTo(other.address());
+        l.fleet().setDiscoveryAddress(other.address());
         co_await l.waitUntilAllReceived(version);
         l.expectAllReceived(other, version, movedAt, listDeadline(l));
     }));
@@ -184,7 +184,7 @@
 constexpr Micros kStableWatchAge = 1200ms;  // long enough for a watch to be reopened without a delay
 
 Task<void> startWithPushedList(DiscoveryLoad& load) {
-    load.firstFollower().watcher().setPushGrace(kPushGrace);
+    load.firstFollower().watcher().setPushDeadline(kPushGrace);
     load.discovery().writeEntry("server-1", "active");
     load.fleet().start();
     co_await load.waitUntil([&load] { return load.fleet().allLive(); });
@@ -239,10 +239,10 @@
         OverloadedDiscovery& other = l.otherDiscovery();
         other.start();
         for (const auto& follower : l.fleet().followers()) {
-            follower->watcher().setFleetSize(kFleetSize);
+            follower->watcher().setNodeCount(kFleetSize);
         }
         co_await l.openAllWatches();
-        l.fleet().moveTo(other.address());
+        l.fleet().setDiscoveryAddress(other.address());
         co_await l.waitUntil([&] { return other.counts().received >= kPartOfFleet.followers; });
         const std::vector<Time>& calls = other.counts().receivedAt;
         EXPECT_EQ(calls.size(), kPartOfFleet.followers);
--- a/tests/event_conversion_test.cpp
+++ b/tests/event_conversion_test.cpp
@@ -78,7 +78,7 @@
         f.answer = [](const Event& event) { return forwardTo(event, EndpointId{7}); };
         takeInto(f.tracker, trackedRequest, decisions);
         EXPECT_EQ(f.last<RequestArrived>().group, GroupId{0});
-        EXPECT_EQ(f.last<RequestArrived>().key, FlowKey{0});
+        EXPECT_EQ(f.last<RequestArrived>().flowKey, FlowKey{0});
         f.answer = nullptr;
     }
 }
--- a/tests/follower_fleet.cpp
+++ b/tests/follower_fleet.cpp
@@ -73,9 +73,9 @@
     scheduler_.spawn(sampleLiveness());
 }
 
-void FollowerFleet::moveTo(const Address& discovery) {
+void FollowerFleet::setDiscoveryAddress(const Address& discovery) {
     for (const auto& follower : followers_) {
-        follower->watcher().moveTo(discovery);
+        follower->watcher().setDiscoveryAddress(discovery);
     }
 }
 
--- a/tests/follower_fleet.hpp
+++ b/tests/follower_fleet.hpp
@@ -29,7 +29,7 @@
 
     Time now() const override { return scheduler_.now(); }
     void startHealthCheck(EndpointId) override {}
-    void watchList() override {}  // the watcher schedules its own retries
+    void startWatchingEndpointList() override {}  // the watcher schedules its own retries
 
     MembershipWatcher& watcher() { return watcher_; }
     const Metrics& metrics() const { return metrics_; }
@@ -59,7 +59,7 @@
 
     // Spawns the watchers. They run until the scheduler drops their tasks.
     void start();
-    void moveTo(const Address& discovery);
+    void setDiscoveryAddress(const Address& discovery);
     const std::vector<std::unique_ptr<Follower>>& followers() const { return followers_; }
     bool allLive() const;
     std::size_t countHavingReceived(std::uint64_t version) const;
