--- a/tests/handover_messages_test.cpp
+++ b/tests/handover_messages_test.cpp
@@ -12,7 +12,7 @@
 
 EstablishedConnection exampleConnection() {
     EstablishedConnection connection;
-    connection.opening = "OPEN 9b01 7f3a c=chat,d=0\r\n";
+    connection.openingLine = "OPEN 9b01 7f3a c=chat,d=0\r\n";
     connection.endpoint = EndpointId{42};
     connection.load = 12.5;
     connection.relay = {"one\r\ntwo", "\x01\xff\r\n", 5, 4, Time{1234567}};
@@ -37,23 +37,23 @@
     const HandoverMessage message = parseMessage(encode(sent));
     ASSERT_TRUE(std::holds_alternative<ConnectionTransfer>(message));
     const EstablishedConnection received = std::get<ConnectionTransfer>(message).parse();
-    EXPECT_EQ(received.opening, sent.opening);
+    EXPECT_EQ(received.openingLine, sent.openingLine);
     EXPECT_EQ(received.endpoint, sent.endpoint);
     EXPECT_EQ(received.load, sent.load);
     EXPECT_EQ(received.relay.fromClient, sent.relay.fromClient);
     EXPECT_EQ(received.relay.fromUpstream, sent.relay.fromUpstream);
-    EXPECT_EQ(received.relay.toUpstream, sent.relay.toUpstream);
-    EXPECT_EQ(received.relay.toClient, sent.relay.toClient);
-    EXPECT_EQ(received.relay.unanswered, sent.relay.unanswered);
+    EXPECT_EQ(received.relay.completeClientBytes, sent.relay.completeClientBytes);
+    EXPECT_EQ(received.relay.completeUpstreamBytes, sent.relay.completeUpstreamBytes);
+    EXPECT_EQ(received.relay.unansweredSince, sent.relay.unansweredSince);
     EXPECT_EQ(received.clientSocket, -1);
     EXPECT_EQ(received.upstreamSocket, -1);
 }
 
 TEST(HandoverMessages, InconsistentConnectionTransferIsRejected) {
     EstablishedConnection overcounted = exampleConnection();
-    overcounted.relay.toUpstream = overcounted.relay.fromClient.size() + 1;
+    overcounted.relay.completeClientBytes = overcounted.relay.fromClient.size() + 1;
     EstablishedConnection withoutOpening = exampleConnection();
-    withoutOpening.opening = "PING\r\n";
+    withoutOpening.openingLine = "PING\r\n";
     for (const EstablishedConnection& connection : {overcounted, withoutOpening}) {
         const HandoverMessage message = parseMessage(encode(connection));
         EXPECT_THROW(std::get<ConnectionTransfer>(message).parse(), HandoverError);
--- a/tests/hot_restart_golden_test.cpp
+++ b/tests/hot_restart_golden_test.cpp
@@ -52,7 +52,7 @@
 TEST(HotRestartGolden, StateHasItsTopLevelFields) {
     const HandoverState state = HandoverState::parse(readGolden("state.json"));
     EXPECT_EQ(state.adminAddress, "127.0.0.1:9101");
-    EXPECT_EQ(state.ids, (std::vector<std::uint64_t>{9223372036854775808U, 1, 77}));
+    EXPECT_EQ(state.requestIds, (std::vector<std::uint64_t>{9223372036854775808U, 1, 77}));
     EXPECT_EQ(state.learned.classNames,
               (std::vector<std::string>{"chat", "b\xc3\xbchne", "quote\"d", "bulk"}));
     EXPECT_EQ(state.learned.listed,
@@ -73,7 +73,7 @@
     EXPECT_EQ(ready.entry.cell, 7U);
     EXPECT_EQ(ready.entry.weight, 2.5);
     EXPECT_EQ(ready.entry.availability, Availability::Ready);
-    EXPECT_EQ(ready.entry.started, Time{1764720000123000});
+    EXPECT_EQ(ready.entry.startedAt, Time{1764720000123000});
     EXPECT_EQ(ready.address.text(), "10.0.0.1:8001");
 
     const Member& draining = state.list.members[1];
@@ -83,7 +83,7 @@
     EXPECT_EQ(draining.entry.cell, 8U);
     EXPECT_EQ(draining.entry.weight, 0.1);
     EXPECT_EQ(draining.entry.availability, Availability::Draining);
-    EXPECT_EQ(draining.entry.started, Time{1764720001234000});
+    EXPECT_EQ(draining.entry.startedAt, Time{1764720001234000});
     EXPECT_EQ(draining.address.text(), "10.0.0.2:8002");
 
     const Member& gone = state.list.members[2];
@@ -93,7 +93,7 @@
     EXPECT_EQ(gone.entry.cell, 9U);
     EXPECT_EQ(gone.entry.weight, 0.3333333333333333);
     EXPECT_EQ(gone.entry.availability, Availability::Gone);
-    EXPECT_EQ(gone.entry.started, Time{1764720002345000});
+    EXPECT_EQ(gone.entry.startedAt, Time{1764720002345000});
     EXPECT_EQ(gone.address.text(), "10.0.0.3:8003");
 }
 
@@ -105,7 +105,7 @@
     EXPECT_EQ(fleet.loadSeconds, 0.6666666666666666);
     EXPECT_EQ(fleet.connectionSeconds, 1e-7);
     EXPECT_EQ(fleet.arrivalRate, 1234.5678901234567);
-    EXPECT_EQ(fleet.setupMicros, 1e22);
+    EXPECT_EQ(fleet.meanSetupMicros, 1e22);
     EXPECT_EQ(fleet.typicalSetupMicros, 5e-324);
     EXPECT_EQ(fleet.typicalLoad, 1.7976931348623157e308);
     EXPECT_EQ(fleet.meanLoadByClass, (std::vector<double>{0.7, 1.1, 40000.0, 3.141592653589793}));
@@ -121,7 +121,7 @@
     EXPECT_TRUE(first.state.reported);
     EXPECT_EQ(first.state.reportedAt, Time{1764720010000001});
     EXPECT_EQ(first.state.utilisation, 61);
-    EXPECT_EQ(first.state.load, 0.6100000000000001);
+    EXPECT_EQ(first.state.loadOverCapacity, 0.6100000000000001);
     EXPECT_EQ(first.state.activeRequests, 17.25);
     EXPECT_EQ(first.state.slowdown, 1.2345678901234567);
     EXPECT_EQ(first.state.setupSlowdown, 0.9);
@@ -129,7 +129,7 @@
     EXPECT_EQ(first.state.healthCheckFailures, 2);
     EXPECT_EQ(first.state.successRate, 0.14285714285714285);
     EXPECT_EQ(first.state.lastLateMessageAt, Time{1764720010000002});
-    EXPECT_EQ(first.state.slowStartTurnsFrom, Time{1764720010000003});
+    EXPECT_EQ(first.state.slowStartSlotsUsedUntil, Time{1764720010000003});
     EXPECT_EQ(first.state.nextMigrationAt, Time{1764720010000004});
 
     const LearnedState::EndpointRecord& second = state.learned.learnedState.endpoints[1];
@@ -138,7 +138,7 @@
     EXPECT_TRUE(second.state.reported);
     EXPECT_EQ(second.state.reportedAt, Time{-5});
     EXPECT_EQ(second.state.utilisation, 100);
-    EXPECT_EQ(second.state.load, 1e-300);
+    EXPECT_EQ(second.state.loadOverCapacity, 1e-300);
     EXPECT_EQ(second.state.activeRequests, 3.0);
     EXPECT_EQ(second.state.slowdown, -0.1);
     EXPECT_EQ(second.state.setupSlowdown, 1.1);
@@ -146,7 +146,7 @@
     EXPECT_EQ(second.state.healthCheckFailures, 4);
     EXPECT_EQ(second.state.successRate, 0.2);
     EXPECT_EQ(second.state.lastLateMessageAt, Time{6});
-    EXPECT_EQ(second.state.slowStartTurnsFrom, Time{7});
+    EXPECT_EQ(second.state.slowStartSlotsUsedUntil, Time{7});
     EXPECT_EQ(second.state.nextMigrationAt, Time{9223372036854775807});
 }
 
@@ -158,7 +158,7 @@
     EXPECT_FALSE(unknown.state.reported);
     EXPECT_EQ(unknown.state.reportedAt, Time{0});
     EXPECT_EQ(unknown.state.utilisation, 0);
-    EXPECT_EQ(unknown.state.load, 0.0);
+    EXPECT_EQ(unknown.state.loadOverCapacity, 0.0);
     EXPECT_EQ(unknown.state.activeRequests, 0.0);
     EXPECT_EQ(unknown.state.slowdown, 1.0);
     EXPECT_EQ(unknown.state.setupSlowdown, 1.0);
@@ -166,7 +166,7 @@
     EXPECT_EQ(unknown.state.healthCheckFailures, 0);
     EXPECT_EQ(unknown.state.successRate, 1.0);
     EXPECT_EQ(unknown.state.lastLateMessageAt, Time{-4611686018427387904});
-    EXPECT_EQ(unknown.state.slowStartTurnsFrom, Time{0});
+    EXPECT_EQ(unknown.state.slowStartSlotsUsedUntil, Time{0});
     EXPECT_EQ(unknown.state.nextMigrationAt, Time{0});
 }
 
@@ -235,14 +235,14 @@
     using namespace std::string_literals;
     const std::string golden = readGolden("standing_connection_with_load.json");
     const EstablishedConnection connection = std::get<ConnectionTransfer>(parseMessage(golden)).parse();
-    EXPECT_EQ(connection.opening, "OPEN 9b01 7f3a c=chat,d=0\r\n");
+    EXPECT_EQ(connection.openingLine, "OPEN 9b01 7f3a c=chat,d=0\r\n");
     EXPECT_EQ(connection.endpoint, EndpointId{18446744073709551614U});
     EXPECT_EQ(connection.load, 0.30000000000000004);
     EXPECT_EQ(connection.relay.fromClient, "one\r\ntwo");
     EXPECT_EQ(connection.relay.fromUpstream, "\x00\x01\x7f\x80\xff\"\\\r\n"s);
-    EXPECT_EQ(connection.relay.toUpstream, 5U);
-    EXPECT_EQ(connection.relay.toClient, 9U);
-    EXPECT_EQ(connection.relay.unanswered, Time{1764720010000005});
+    EXPECT_EQ(connection.relay.completeClientBytes, 5U);
+    EXPECT_EQ(connection.relay.completeUpstreamBytes, 9U);
+    EXPECT_EQ(connection.relay.unansweredSince, Time{1764720010000005});
     EXPECT_EQ(encode(connection), golden);
 }
 
@@ -250,14 +250,14 @@
     using namespace std::string_literals;
     const std::string golden = readGolden("standing_connection_without_load.json");
     const EstablishedConnection connection = std::get<ConnectionTransfer>(parseMessage(golden)).parse();
-    EXPECT_EQ(connection.opening, "OPEN 9b01 7f3a c=chat,d=0\r\n");
+    EXPECT_EQ(connection.openingLine, "OPEN 9b01 7f3a c=chat,d=0\r\n");
     EXPECT_EQ(connection.endpoint, EndpointId{45});
     EXPECT_FALSE(connection.load);
     EXPECT_EQ(connection.relay.fromClient, "\xfe\n\x00"s);
     EXPECT_EQ(connection.relay.fromUpstream, "late");
-    EXPECT_EQ(connection.relay.toUpstream, 2U);
-    EXPECT_EQ(connection.relay.toClient, 0U);
-    EXPECT_EQ(connection.relay.unanswered, kNever);
+    EXPECT_EQ(connection.relay.completeClientBytes, 2U);
+    EXPECT_EQ(connection.relay.completeUpstreamBytes, 0U);
+    EXPECT_EQ(connection.relay.unansweredSince, kNever);
     EXPECT_EQ(encode(connection), golden);
 }
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -85,7 +85,7 @@
     pairs[1].server.send("LOAD 1000\r\nand ha");
     EXPECT_EQ(pairs[1].client.line(), "LOAD 1000");
     TestConnection pendingClient = predecessor.client(newOpeningLine());
-    auto pendingAttempt = server.next();
+    auto pendingAttempt = server.nextOpened();
     NodeProcess successor{restartOptions(server, directory)};
     predecessor.awaitLogLine("the successor serves");
     predecessor.signal(SIGTERM);
@@ -172,7 +172,7 @@
     for (int i = 0; i < 10; ++i) {
         establishConnection(successor, secondServer);
     }
-    EXPECT_TRUE(server.idle());
+    EXPECT_TRUE(server.hasNoQueuedConnection());
     EXPECT_EQ(predecessor.adminRequest("POST", "/-/hosts/s-2/disable").first, 200);
     while (successor.metric("cluster_unhealthy") != 2) {
     }
@@ -195,17 +195,17 @@
     const std::uint16_t port = node->port();
     std::thread responder([&] {
         while (!allAnswered) {
-            if (server.idle()) {
+            if (server.hasNoQueuedConnection()) {
                 std::this_thread::sleep_for(std::chrono::milliseconds(1));
                 continue;
             }
-            auto opened = server.next();
+            auto opened = server.nextOpened();
             opened.connection.send("UP r\r\nBYE\r\n");
         }
     });
     std::thread clients([&] {
         for (int i = 0; !noMoreClients; ++i) {
-            TestConnection client = TestConnection::to(port);
+            TestConnection client = TestConnection::connectTo(port);
             client.send(
                 std::string("OPEN ").append(std::to_string(10000 + i)).append(" 7 c=chat,d=20000\r\n"));
             const bool correct =
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -47,7 +47,7 @@
     TestConnection& operator=(const TestConnection&) = delete;
     ~TestConnection() { close(); }
 
-    static TestConnection to(std::uint16_t port) {
+    static TestConnection connectTo(std::uint16_t port) {
         const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const sockaddr_in address = loopback(port);
         if (::connect(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
@@ -98,7 +98,7 @@
         pollfd poll{descriptor_, POLLIN, 0};
         return ::poll(&poll, 1, 0) == 1;
     }
-    void finishSending() const { ::shutdown(descriptor_, SHUT_WR); }
+    void shutdownSend() const { ::shutdown(descriptor_, SHUT_WR); }
     void reset() {
         const linger now{1, 0};
         ::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
--- a/tests/membership_watcher_test.cpp
+++ b/tests/membership_watcher_test.cpp
@@ -60,11 +60,11 @@
     Fixture& operator=(const Fixture&) = delete;
     Fixture(Fixture&&) = delete;
     Fixture& operator=(Fixture&&) = delete;
-    ~Fixture() override { scheduler.dropTasks(); }
+    ~Fixture() override { scheduler.destroyTasks(); }
 
     Time now() const override { return scheduler.now(); }
     void startHealthCheck(EndpointId) override {}
-    void watchList() override {}
+    void startWatchingEndpointList() override {}
 
     // Starts the watcher while discovery accepts calls.
     void startWithDiscovery() {
@@ -96,14 +96,14 @@
 
     Task<std::unique_ptr<Call>> nextCall() {
         int descriptor = -1;
-        while (listener.accept(descriptor) != Socket::Accepting::Taken) {
+        while (listener.accept(descriptor) != Socket::AcceptResult::Accepted) {
             co_await listening.wait();
         }
         auto call = std::make_unique<Call>(scheduler);
         call->connection = Connection{Socket{call->signal, descriptor}};
-        while (call->connection.in.view().find("\r\n\r\n") == std::string_view::npos &&
-               !call->connection.over()) {
-            if (!call->connection.fill()) co_await call->signal.wait();
+        while (call->connection.input.view().find("\r\n\r\n") == std::string_view::npos &&
+               !call->connection.inputEnded()) {
+            if (!call->connection.receive()) co_await call->signal.wait();
         }
         co_return call;
     }
@@ -156,13 +156,13 @@
         for (std::size_t at = 0; at < whole.size(); at += step) {
             EXPECT_FALSE(end) << "found before the last byte of the object";
             text.append(whole.substr(at, step));
-            end = first.end(text);
+            end = first.findEnd(text);
         }
         ASSERT_TRUE(end);
         EXPECT_EQ(*end, whole.size());
     }
-    EXPECT_EQ(JsonObjectScanner{}.end("{}\n{}"), 2U);
-    EXPECT_EQ(JsonObjectScanner{}.end(R"({"a":"\\"}{)"), 10U);
+    EXPECT_EQ(JsonObjectScanner{}.findEnd("{}\n{}"), 2U);
+    EXPECT_EQ(JsonObjectScanner{}.findEnd(R"({"a":"\\"}{)"), 10U);
 }
 
 // An update may be indented, so that it spans many lines, and may arrive in pieces that end anywhere.
@@ -226,7 +226,7 @@
         const auto first = co_await g.nextCall();
         first->openWatch();
         co_await g.waitUntil([&g] { return g.watcher.live(); });
-        g.watcher.moveTo(elsewhere.address());
+        g.watcher.setDiscoveryAddress(elsewhere.address());
         co_await g.waitUntil([&g] { return g.metrics.listFailures >= 1; });  // connection refused
         g.listener = Socket::listenOn(g.listening, elsewhere.address());
         const auto callAtNewAddress = co_await g.nextCall();
@@ -237,7 +237,7 @@
 
 TEST(MembershipWatcher, BriefWatchIsReportedToEngine) {
     Fixture f;
-    f.watcher.setPushGrace(100ms);
+    f.watcher.setPushDeadline(100ms);
     f.startWithDiscovery();
     EXPECT_TRUE(f.run([](Fixture& g) -> Task<void> {
         {
@@ -274,15 +274,15 @@
     std::vector<Socket> queued;
     do {
         queued.push_back(Socket::connectTo(others, address));
-    } while (queued.size() < 8 && queued.back().connecting() == Socket::Connecting::Done);
-    ASSERT_EQ(queued.back().connecting(), Socket::Connecting::Pending);
+    } while (queued.size() < 8 && queued.back().connectState() == Socket::ConnectState::Done);
+    ASSERT_EQ(queued.back().connectState(), Socket::ConnectState::Pending);
     f.watcher.start();
     EXPECT_TRUE(f.run([&queued](Fixture& g) -> Task<void> {
         co_await g.waitUntil([&g] { return g.metrics.listCallsCancelled >= 1; });
         EXPECT_EQ(g.metrics.listCallsRejected, 0U) << "a connect timeout is not a sign of overload";
         EXPECT_EQ(g.metrics.listCalls, 1U) << "no hedging call has been started";
         queued.clear();
-        for (int descriptor = -1; g.listener.accept(descriptor) == Socket::Accepting::Taken;) {
+        for (int descriptor = -1; g.listener.accept(descriptor) == Socket::AcceptResult::Accepted;) {
             ::close(descriptor);
         }
         const auto call = co_await g.nextCall();
@@ -295,7 +295,7 @@
 // would not request the list in time.
 TEST(MembershipWatcher, PushedListIsWatchedAgainOnceSenderIsReachable) {
     Fixture f;
-    f.watcher.setPushGrace(100ms);
+    f.watcher.setPushDeadline(100ms);
     f.watcher.start();
     EXPECT_TRUE(f.run([](Fixture& g) -> Task<void> {
         co_await g.waitUntil([&g] { return g.metrics.listFailures >= 3; });
@@ -309,7 +309,7 @@
 
 TEST(MembershipWatcher, PushedListWatchIsReopenedImmediately) {
     Fixture f;
-    f.watcher.setPushGrace(100ms);
+    f.watcher.setPushDeadline(100ms);
     f.startWithDiscovery();
     EXPECT_TRUE(f.run([](Fixture& g) -> Task<void> {
         {
--- a/tests/node_attempt_test.cpp
+++ b/tests/node_attempt_test.cpp
@@ -13,7 +13,7 @@
     StubServer server;
     NodeProcess node{optionsFor(server)};
     TestConnection client = node.client(newOpeningLine());
-    auto opened = server.next();
+    auto opened = server.nextOpened();
     client.send("more\r\n");
     EXPECT_EQ(client.line(), "ERR");
     expectClosed(opened.connection);
@@ -25,9 +25,9 @@
     StubServer server;
     NodeProcess node{optionsFor(server)};
     TestConnection client = node.client(newOpeningLine());
-    auto first = server.next();
+    auto first = server.nextOpened();
     first.connection.send(std::string(5000, 'x'));
-    auto second = server.next();
+    auto second = server.nextOpened();
     expectClosed(first.connection);
     second.connection.send("UP r2\r\n");
     EXPECT_EQ(client.line(), "UP r2");
@@ -37,10 +37,10 @@
 // Answers BUSY to each attempt at one endpoint until an attempt reaches the other, accepts that one and
 // returns its connection.
 TestConnection rejectUntilAccepted(StubServer& rejecting, StubServer& accepting) {
-    while (accepting.idle()) {
-        if (!rejecting.idle()) rejecting.next().connection.send("BUSY\r\n");
+    while (accepting.hasNoQueuedConnection()) {
+        if (!rejecting.hasNoQueuedConnection()) rejecting.nextOpened().connection.send("BUSY\r\n");
     }
-    auto opened = accepting.next();
+    auto opened = accepting.nextOpened();
     opened.connection.send("UP r\r\n");
     return std::move(opened.connection);
 }
@@ -71,7 +71,7 @@
     NodeProcess node{options};
     for (const std::string answer : {"ERR\r\n", "SYNTAX\r\n", ""}) {
         TestConnection client = node.client(newOpeningLine());
-        auto opened = one.next();
+        auto opened = one.nextOpened();
         opened.connection.send(answer);
         if (answer.empty()) opened.connection.reset();
         EXPECT_EQ(client.line(), "ERR");
@@ -84,9 +84,9 @@
     StubServer server;
     NodeProcess node{optionsFor(server)};
     TestConnection client = node.client(newOpeningLine());
-    auto first = server.next();
+    auto first = server.nextOpened();
     first.connection.send("ERR\r\n");
-    auto second = server.next();
+    auto second = server.nextOpened();
     expectClosed(first.connection);
     second.connection.send("UP r2\r\n");
     EXPECT_EQ(client.line(), "UP r2");
@@ -98,7 +98,7 @@
     options.idempotency = "single_shot";
     NodeProcess node{options};
     TestConnection client = node.client("OPEN 9b1f 7f3a c=chat,d=300\r\n");
-    auto opened = server.next();
+    auto opened = server.nextOpened();
     EXPECT_EQ(client.line(), "ERR");
     EXPECT_EQ(client.line(), "(end)");
     opened.connection.send("UP late\r\n");
@@ -109,7 +109,7 @@
     StubServer server;
     NodeProcess node{optionsFor(server)};
     TestConnection client = node.client(newOpeningLine());
-    auto opened = server.next();
+    auto opened = server.nextOpened();
     client.reset();
     expectClosed(opened.connection);
     EXPECT_EQ(node.counter("clients_disconnected"), 1);
@@ -122,12 +122,12 @@
     options.servers = {{"s-1", one.address()}, {"s-2", two.address()}};
     NodeProcess node{options};
     TestConnection client = node.client("OPEN 9b1f 7f3a c=chat,at=s-2\r\n");
-    auto opened = two.next();
+    auto opened = two.nextOpened();
     EXPECT_EQ(opened.opening, "OPEN 9b1f 7f3a c=chat,at=s-2");
     opened.connection.send("UP old\r\n");
     EXPECT_EQ(client.line(), "UP old");
     EXPECT_EQ(node.counter("resumed"), 1);
-    EXPECT_TRUE(one.idle());
+    EXPECT_TRUE(one.hasNoQueuedConnection());
 }
 
 }  // namespace
--- a/tests/node_descriptors_test.cpp
+++ b/tests/node_descriptors_test.cpp
@@ -21,11 +21,11 @@
     while (pairs.size() < 30) {
         TestConnection client = node.client(newOpeningLine());
         awaitRequestOrAnswer(server, client);
-        if (server.idle()) {
+        if (server.hasNoQueuedConnection()) {
             EXPECT_EQ(client.line(), "BUSY 500") << "BUSY contains the time after which to retry";
             break;
         }
-        auto opened = server.next();
+        auto opened = server.nextOpened();
         opened.connection.send("UP r1\r\n");
         EXPECT_EQ(client.line(), "UP r1");
         pairs.push_back({std::move(client), std::move(opened.connection)});
@@ -75,8 +75,8 @@
     while (node.counter("out_of_descriptors") == 0) {
         TestConnection client = node.client(newOpeningLine());
         awaitRequestOrAnswer(server, client);
-        if (server.idle()) break;
-        auto opened = server.next();
+        if (server.hasNoQueuedConnection()) break;
+        auto opened = server.nextOpened();
         opened.connection.send("UP r1\r\n");
         EXPECT_EQ(client.line(), "UP r1");
         pairs.push_back({std::move(client), std::move(opened.connection)});
@@ -134,7 +134,7 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
     for (TestConnection& client : pending) {
-        auto opened = server.next();
+        auto opened = server.nextOpened();
         opened.connection.send("UP r1\r\n");
         client = TestConnection{};
     }
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -121,7 +121,7 @@
     NodeProcess node{options};
     EstablishedPair pair = establishConnection(node, server);
     TestConnection pending = node.client("OPEN 77 7f3a c=chat,d=20000\r\n");
-    auto opened = server.next();
+    auto opened = server.nextOpened();
     node.signal(SIGTERM);
     node.awaitLogLine("stopping");
     for (int i = 0; i < 10; ++i) {
--- a/tests/node_harness.hpp
+++ b/tests/node_harness.hpp
@@ -48,7 +48,7 @@
 inline EstablishedPair establishConnection(NodeProcess& node, StubServer& server,
                                            const std::string& opening = newOpeningLine()) {
     TestConnection client = node.client(opening);
-    auto opened = server.next();
+    auto opened = server.nextOpened();
     opened.connection.send("UP r1\r\n");
     EXPECT_EQ(client.line(), "UP r1");
     return {std::move(client), std::move(opened.connection)};
@@ -62,7 +62,7 @@
 
 // Waits until the endpoint has received the request, or the client an answer.
 inline void awaitRequestOrAnswer(StubServer& server, const TestConnection& client) {
-    while (server.idle() && !client.hasInput()) {
+    while (server.hasNoQueuedConnection() && !client.hasInput()) {
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
 }
--- a/tests/node_opening_test.cpp
+++ b/tests/node_opening_test.cpp
@@ -17,7 +17,7 @@
     for (const char c : newOpeningLine()) {
         client.send({&c, 1});
     }
-    EXPECT_TRUE(server.next().opening.starts_with("OPEN "));
+    EXPECT_TRUE(server.nextOpened().opening.starts_with("OPEN "));
 }
 
 TEST(NodeOpening, AnswersPipelinedHealthChecks) {
@@ -28,7 +28,7 @@
     EXPECT_EQ(loadBalancer.line(), "PONG");
     loadBalancer.send("PING\r\n" + newOpeningLine());
     EXPECT_EQ(loadBalancer.line(), "PONG");
-    EXPECT_TRUE(server.next().opening.starts_with("OPEN"));
+    EXPECT_TRUE(server.nextOpened().opening.starts_with("OPEN"));
 }
 
 TEST(NodeOpening, ClosesOnlyTheConnectionWithInvalidInput) {
@@ -79,7 +79,7 @@
         EXPECT_EQ(node.counter(cause), static_cast<long>(openings.size())) << cause;
     }
     EXPECT_EQ(node.counter("bad_input"), rejected);
-    EXPECT_TRUE(server.idle());
+    EXPECT_TRUE(server.hasNoQueuedConnection());
     EXPECT_EQ(node.counter("attempts"), 1);
     valid.client.close();
     expectClosed(valid.server);
@@ -89,7 +89,7 @@
     TestConnection copy = node.client("OPEN 9b1f 8 c=chat,d=20000\r\n");
     EXPECT_EQ(copy.line(), "ERR")
         << "every connection has a new id, and the id of a request that has just ended is known";
-    EXPECT_TRUE(server.idle());
+    EXPECT_TRUE(server.hasNoQueuedConnection());
 }
 
 // Guards against a lost answer: closing a socket with unread input resets the connection.
@@ -107,13 +107,13 @@
     TestConnection silent = node.client();
     TestConnection incomplete = node.client("OPEN 9b1f 7f3a c=ch");
     TestConnection halfClosed = node.client("OPEN 9b1f 7f3a c=ch");
-    halfClosed.finishSending();
+    halfClosed.shutdownSend();
     for (TestConnection* connection : {&halfClosed, &silent, &incomplete}) {
         expectClosed(*connection);
     }
     EXPECT_EQ(node.counter("incomplete_openings"), 1);
     EXPECT_EQ(node.counter("opening_timeouts"), 2);
-    EXPECT_TRUE(server.idle());
+    EXPECT_TRUE(server.hasNoQueuedConnection());
 }
 
 }  // namespace
--- a/tests/node_process.hpp
+++ b/tests/node_process.hpp
@@ -98,9 +98,9 @@
     }
 
     std::uint16_t port() const { return port_; }
-    TestConnection client() const { return TestConnection::to(port_); }
+    TestConnection client() const { return TestConnection::connectTo(port_); }
     TestConnection client(std::string_view opening) const {
-        TestConnection connection = TestConnection::to(port_);
+        TestConnection connection = TestConnection::connectTo(port_);
         connection.send(opening);
         return connection;
     }
@@ -135,7 +135,7 @@
     }
     // Connects to the admin server and sends the text.
     TestConnection connectToAdminServer(std::string_view text = {}) const {
-        TestConnection connection = TestConnection::to(adminPort_);
+        TestConnection connection = TestConnection::connectTo(adminPort_);
         connection.send(text);
         return connection;
     }
--- a/tests/node_relay_test.cpp
+++ b/tests/node_relay_test.cpp
@@ -13,7 +13,7 @@
     StubServer server;
     NodeProcess node{optionsFor(server)};
     TestConnection client = node.client("OPEN 9b1f 7f3a c=chat,d=20000,g=5c0f\r\n");
-    auto opened = server.next();
+    auto opened = server.nextOpened();
     EXPECT_TRUE(opened.opening.starts_with("OPEN 9b1f 7f3a c=chat,d=")) << opened.opening;
     EXPECT_TRUE(opened.opening.ends_with(",g=5c0f")) << opened.opening;
     opened.connection.send("UP r1\r\nLOAD 41000\r\nho");
@@ -49,7 +49,7 @@
     NodeProcess node{optionsFor(server)};
     EstablishedPair pair = establishConnection(node, server);
     pair.client.send("last\r\nhalf");
-    pair.client.finishSending();
+    pair.client.shutdownSend();
     EXPECT_EQ(pair.server.line(), "last");
     EXPECT_EQ(pair.server.line(), "(end)");
     pair.server.send("BYE\r\n");
--- a/tests/node_shutdown_test.cpp
+++ b/tests/node_shutdown_test.cpp
@@ -20,7 +20,7 @@
     }
     node.signal(SIGTERM);
     TestConnection late = node.client(newOpeningLine());
-    auto opened = server.next();
+    auto opened = server.nextOpened();
     opened.connection.send("UP late\r\n");
     EXPECT_EQ(late.line(), "UP late") << "the node still accepts new connections";
     for (EstablishedPair& pair : pairs) {
@@ -41,7 +41,7 @@
     options.clientTimeoutMs = 1000;  // of the request class; the client's own timeout is longer
     NodeProcess node{options};
     TestConnection client = node.client("OPEN 9b1f 7f3a c=chat,d=60000\r\n");
-    const auto opened = server.next();
+    const auto opened = server.nextOpened();
     node.signal(SIGTERM);
     EXPECT_EQ(client.line(), "ERR");
     client.close();
@@ -59,7 +59,7 @@
     EstablishedPair late = establishConnection(node, server);
     EXPECT_EQ(late.client.line(), "MOVE");
     TestConnection pending = node.client("OPEN 9b1f 7f3a c=chat,d=60000\r\n");
-    const auto opened = server.next();
+    const auto opened = server.nextOpened();
     EXPECT_EQ(pending.line(), "ERR");
 }
 
@@ -70,7 +70,7 @@
     NodeProcess node{options};
     TestConnection unlisted = node.client("OPEN 9b1f 7f3a c=chat,at=s-9\r\n");
     TestConnection unanswered = node.client("OPEN 9b20 7f3a c=chat,at=s-1\r\n");
-    const auto opened = server.next();
+    const auto opened = server.nextOpened();
     node.signal(SIGTERM);
     EXPECT_EQ(unlisted.line(), "ERR");
     EXPECT_EQ(unanswered.line(), "ERR");
@@ -85,7 +85,7 @@
     const std::array<EstablishedPair, 2> pairs{establishConnection(node, server),
                                                establishConnection(node, server)};
     const TestConnection pending = node.client(newOpeningLine());
-    const auto opened = server.next();
+    const auto opened = server.nextOpened();
     const TestConnection unopened = node.client();
     node.signal(SIGINT);
     node.awaitLogLine("stopping");
--- a/tests/node_start_test.cpp
+++ b/tests/node_start_test.cpp
@@ -50,7 +50,7 @@
     for (int i = 0; i < 10; ++i) {
         establishConnection(node, active);
     }
-    EXPECT_TRUE(draining.idle());
+    EXPECT_TRUE(draining.hasNoQueuedConnection());
 }
 
 // A node that is shutting down serves requests, but must not answer health checks: the load balancer in front
--- a/tests/overloaded_discovery.cpp
+++ b/tests/overloaded_discovery.cpp
@@ -124,7 +124,7 @@
 Task<void> OverloadedDiscovery::acceptCalls() {
     for (;;) {
         int descriptor = -1;
-        if (!listener_ || listener_.accept(descriptor) != Socket::Accepting::Taken) {
+        if (!listener_ || listener_.accept(descriptor) != Socket::AcceptResult::Accepted) {
             co_await listening_.wait();
             continue;
         }
@@ -174,7 +174,7 @@
 
 Task<void> OverloadedDiscovery::serve(CallPointer call) {
     co_await readRequest(*call);
-    if (!call->connection.over()) {
+    if (!call->connection.inputEnded()) {
         ++counts_.received;
         counts_.receivedAt.push_back(scheduler_.now());
         admitOrReject(call);
@@ -189,11 +189,12 @@
 }
 
 Task<void> OverloadedDiscovery::readRequest(Call& call) {
-    while (!call.connection.over() && call.connection.in.view().find("\r\n\r\n") == std::string_view::npos) {
-        if (!call.connection.fill()) co_await call.signal.wait();
+    while (!call.connection.inputEnded() &&
+           call.connection.input.view().find("\r\n\r\n") == std::string_view::npos) {
+        if (!call.connection.receive()) co_await call.signal.wait();
     }
-    call.since = sinceOf(call.connection.in.view());
-    call.connection.in.drop(call.connection.in.size());
+    call.since = sinceOf(call.connection.input.view());
+    call.connection.input.consume(call.connection.input.size());
 }
 
 // During an outage a proxy responds with 503, without cost for the worker.
@@ -219,7 +220,7 @@
 Task<void> OverloadedDiscovery::waitUntilServed(CallPointer call) {
     const Time expiresAt = scheduler_.now() + limits_.maxQueueTime;
     while (call->state == CallState::Queued || call->state == CallState::InService) {
-        if (call->connection.over()) {
+        if (call->connection.inputEnded()) {
             if (call->state == CallState::Queued) ++counts_.abandoned;
             call->state = CallState::Ended;
             co_return;
@@ -231,7 +232,7 @@
             co_return;
         }
         co_await call->signal.wait(until);
-        call->connection.fill();
+        call->connection.receive();
     }
 }
 
@@ -259,7 +260,7 @@
     const Time answerAt = scheduler_.now() + faults_.responseDelay;
     while (scheduler_.now() < answerAt && !call.connection.broken) {
         co_await call.signal.wait(answerAt);
-        call.connection.fill();
+        call.connection.receive();
     }
     sendList(call);
 }
@@ -268,7 +269,7 @@
 void OverloadedDiscovery::sendList(Call& call) {
     sendText(call.connection, kWatchHeader);
     sendChunk(call.connection, changesSince(call.since));
-    if (call.connection.over()) {
+    if (call.connection.inputEnded()) {
         ++counts_.respondedLate;
         return;
     }
@@ -278,10 +279,10 @@
 }
 
 Task<void> OverloadedDiscovery::waitForDisconnect(Call& call) {
-    while (!call.connection.over()) {
+    while (!call.connection.inputEnded()) {
         co_await call.signal.wait();
-        call.connection.fill();
-        call.connection.in.drop(call.connection.in.size());
+        call.connection.receive();
+        call.connection.input.consume(call.connection.input.size());
     }
 }
 
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -34,7 +34,7 @@
     fill(buffer, std::string(4096, 'x'));
     EXPECT_TRUE(buffer.full());
     EXPECT_TRUE(buffer.freeSpace().empty());
-    buffer.drop(1000);
+    buffer.consume(1000);
     EXPECT_EQ(buffer.size(), 3096U);
     EXPECT_FALSE(buffer.freeSpace().empty());
     EXPECT_LE(buffer.freeSpace().size(), 1000U);
@@ -49,16 +49,16 @@
         expected += piece;
         if (i % 3 == 0) {
             const std::size_t count = std::min<std::size_t>(7, buffer.size());
-            buffer.drop(count);
+            buffer.consume(count);
             expected.erase(0, count);
         }
         ASSERT_EQ(buffer.view(), expected);
         if (expected.size() > 1900) {
-            buffer.drop(expected.size());
+            buffer.consume(expected.size());
             expected.clear();
         }
     }
-    buffer.keep(3);
+    buffer.truncate(3);
     buffer.append("end");
     EXPECT_EQ(buffer.view(), expected.substr(0, 3) + "end");
 }
@@ -111,7 +111,7 @@
     std::string body;
     for (std::size_t at = 0; at < response.size(); at += pieceBytes) {
         fill(input, response.substr(at, pieceBytes));
-        parser.take(input, body);
+        parser.consume(input, body);
     }
     return body;
 }
@@ -132,7 +132,7 @@
     Buffer input;
     std::string body;
     fill(input, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    parser.take(input, body);
+    parser.consume(input, body);
     EXPECT_EQ(parser.status(), 503);
     EXPECT_TRUE(parser.complete());
 }
@@ -146,7 +146,7 @@
         std::string body;
         for (std::size_t at = 0; at < request.size(); at += piece) {
             fill(input, std::string_view(request).substr(at, piece));
-            parser.take(input, body);
+            parser.consume(input, body);
         }
         EXPECT_TRUE(parser.complete());
         EXPECT_EQ(parser.method(), "POST");
@@ -162,7 +162,7 @@
         Buffer input;
         std::string body;
         fill(input, text);
-        EXPECT_THROW(parser.take(input, body), HttpError) << text;
+        EXPECT_THROW(parser.consume(input, body), HttpError) << text;
     }
 }
 
@@ -189,10 +189,10 @@
     ASSERT_EQ(update.members.size(), 2U);
     EXPECT_EQ(update.members[0].entry.name, "s-1");
     EXPECT_EQ(update.members[0].entry.availability, Availability::Draining);
-    EXPECT_EQ(update.members[0].entry.started, Time{1700ms});
+    EXPECT_EQ(update.members[0].entry.startedAt, Time{1700ms});
     EXPECT_EQ(update.members[0].address.text(), "127.0.0.9:8080");
     EXPECT_EQ(update.members[1].entry.availability, Availability::Ready);
-    EXPECT_EQ(update.members[1].entry.started, Time{0});
+    EXPECT_EQ(update.members[1].entry.startedAt, Time{0});
 }
 
 // Some discovery services write every key, with null for absent values.
@@ -240,8 +240,8 @@
     EXPECT_EQ(config.name, "n3");
     EXPECT_EQ(config.listen.text(), "127.0.0.4:8080");
     EXPECT_EQ(config.settings.settings.seed, 255U);
-    EXPECT_EQ(config.sockets, 1160U);
-    EXPECT_EQ(config.known.version, 4U);
+    EXPECT_EQ(config.descriptorLimit, 1160U);
+    EXPECT_EQ(config.knownEndpoints.version, 4U);
     const std::vector<std::pair<const char*, const char*>> invalidConfigurations = {
         {"{", "bad configuration"},
         {R"({"listen":"nowhere","discovery":"127.0.0.1:1","settings":{}})", "listen"},
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -57,7 +57,7 @@
 
     Time now() const override { return scheduler.now(); }
     void startHealthCheck(EndpointId) override {}
-    void watchList() override {}
+    void startWatchingEndpointList() override {}
 
     Task<void> runRelay(bool migrationRequested) {
         ConnectionPair connections{scheduler, client[0]};
@@ -82,11 +82,11 @@
     Task<void> readAsClient() {
         Signal signal{scheduler};
         Connection connection{Socket{signal, client[1]}};
-        while (!connection.over()) {
+        while (!connection.inputEnded()) {
             co_await signal.wait();
-            connection.fill();
+            connection.receive();
         }
-        clientReceived = std::string(connection.in.view());
+        clientReceived = std::string(connection.input.view());
     }
 
     void run(bool migrationRequested) {
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -50,7 +50,7 @@
     EstablishedPair call = establishConnection(node, server, openingOf("call"));
     EstablishedPair chat = establishConnection(node, server);
     TestConnection pendingClient = node.client(newOpeningLine());
-    auto pendingAttempt = server.next();
+    auto pendingAttempt = server.nextOpened();
     options.classes = {"call"};
     reload(node, options);
     TestConnection late = node.client(newOpeningLine());
@@ -74,10 +74,10 @@
     options.idempotency = "single_shot";
     NodeProcess node{options};
     const auto attempt = [&] {
-        while (server.idle() && secondServer.idle()) {
+        while (server.hasNoQueuedConnection() && secondServer.hasNoQueuedConnection()) {
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
-        return server.idle() ? secondServer.next() : server.next();
+        return server.hasNoQueuedConnection() ? secondServer.nextOpened() : server.nextOpened();
     };
     TestConnection olderClient = node.client(newOpeningLine());
     auto first = attempt();
@@ -153,8 +153,8 @@
     do {
         client = node.client(openingOf("c19"));
         awaitRequestOrAnswer(server, client);
-    } while (server.idle());  // the node answers ERR until it has read the last file
-    server.next().connection.send("UP r1\r\n");
+    } while (server.hasNoQueuedConnection());  // the node answers ERR until it has read the last file
+    server.nextOpened().connection.send("UP r1\r\n");
     EXPECT_EQ(client.line(), "UP r1");
     TestConnection clientOfRemovedClass = node.client(openingOf("c3"));
     EXPECT_EQ(clientOfRemovedClass.line(), "ERR");
@@ -193,13 +193,13 @@
     reload(node, firstDeployment);
     EstablishedPair first = establishConnection(node, server);
     TestConnection pendingClient = node.client(newOpeningLine());
-    auto pendingAttempt = server.next();
+    auto pendingAttempt = server.nextOpened();
     reload(node, secondDeployment);
     pendingAttempt.connection.send("UP r2\r\n");
     EXPECT_EQ(pendingClient.line(), "UP r2") << "in flight when the configuration changes";
     EstablishedPair second = establishConnection(node, server);
     TestConnection secondPendingClient = node.client(newOpeningLine());
-    auto secondPendingAttempt = server.next();
+    auto secondPendingAttempt = server.nextOpened();
     node.reload(replaced(secondDeployment, "0.13", "-0.1"));
     node.awaitLogLine(
         "settings at prices.crossZone: out of range: expected a number from 0.0 to 1e+15, got -0.1");
@@ -211,7 +211,7 @@
         pair->client.send("x\r\n");
         EXPECT_EQ(pair->server.line(), "x") << "established connections continue";
     }
-    EXPECT_TRUE(server.idle()) << "nothing was sent twice";
+    EXPECT_TRUE(server.hasNoQueuedConnection()) << "nothing was sent twice";
     EXPECT_EQ(node.metric("transactions.chat.answered"), 5);
     EXPECT_EQ(node.metric("transactions.chat.sends"), 5);
     EXPECT_EQ(node.metric("conf_loaded"), 3);
--- a/tests/request_race_test.cpp
+++ b/tests/request_race_test.cpp
@@ -40,7 +40,7 @@
     void expectNothingWasSent() {
         setEndpointState("active");
         TestConnection next = node.client("OPEN feed 1 c=chat,d=20000\r\n");
-        const auto opened = server.next();
+        const auto opened = server.nextOpened();
         EXPECT_TRUE(opened.opening.starts_with("OPEN feed "))
             << "no attempt is made for a client that has disconnected";
         EXPECT_EQ(node.counter("attempts"), 1);
@@ -81,14 +81,14 @@
     fixture.watch.line(listChange(90, endpointEntry("s-2", late.address(), "leaving")));
     awaitCounter(fixture.node, "list_changes", ++fixture.changes);
     fixture.expectNothingWasSent();
-    EXPECT_TRUE(late.idle());
+    EXPECT_TRUE(late.hasNoQueuedConnection());
 }
 
 TEST(ClientDisconnects, CancelsARequestThatWaitsAfterARejectedAttempt) {
     NodeWithDrainingEndpoint fixture;
     fixture.setEndpointState("active");
     TestConnection client = fixture.node.client(newOpeningLine());
-    auto opened = fixture.server.next();
+    auto opened = fixture.server.nextOpened();
     fixture.setEndpointState("leaving");
     opened.connection.send("BUSY\r\n");
     expectClosed(opened.connection);
@@ -96,7 +96,7 @@
     awaitCounter(fixture.node, "clients_disconnected", 1);
     fixture.setEndpointState("active");
     TestConnection next = fixture.node.client("OPEN feed 1 c=chat,d=20000\r\n");
-    const auto feed = fixture.server.next();
+    const auto feed = fixture.server.nextOpened();
     EXPECT_TRUE(feed.opening.starts_with("OPEN feed "));
     EXPECT_EQ(fixture.node.counter("attempts"), 2);
 }
@@ -113,7 +113,7 @@
     }
     node.signal(SIGCONT);
     TestConnection next = node.client("OPEN feed 1 c=chat,d=20000\r\n");
-    const auto feed = server.next();
+    const auto feed = server.nextOpened();
     EXPECT_TRUE(feed.opening.starts_with("OPEN feed "));
     awaitCounter(node, "accepted", 6);
     EXPECT_EQ(node.counter("attempts"), 1);
@@ -130,7 +130,7 @@
         EXPECT_EQ(::getsockname(descriptor_, reinterpret_cast<sockaddr*>(&address), &size), 0);
         EXPECT_EQ(::listen(descriptor_, 0), 0);
         port_ = ntohs(address.sin_port);
-        queued_ = TestConnection::to(port_);
+        queued_ = TestConnection::connectTo(port_);
     }
     EndpointWithFullQueue(const EndpointWithFullQueue&) = delete;
     EndpointWithFullQueue& operator=(const EndpointWithFullQueue&) = delete;
@@ -215,7 +215,7 @@
                                           endpointEntry("s-2", fixture.other.address())));
     awaitCounter(fixture.node, "list_changes", 1);
     EXPECT_EQ(fixture.firstLineAfterAccept(), "(end)");
-    const auto opened = fixture.other.next();
+    const auto opened = fixture.other.nextOpened();
     EXPECT_TRUE(opened.opening.starts_with("OPEN ")) << "the retry is sent to an active endpoint";
     EXPECT_EQ(fixture.node.counter("not_sent"), 1);
 }
@@ -225,7 +225,7 @@
     fixture.watch.line(listChange(50, endpointEntry("s-1", fixture.other.address())));
     awaitCounter(fixture.node, "list_changes", 1);
     EXPECT_EQ(fixture.firstLineAfterAccept(), "(end)");
-    const auto opened = fixture.other.next();
+    const auto opened = fixture.other.nextOpened();
     EXPECT_TRUE(opened.opening.starts_with("OPEN "));
     EXPECT_EQ(fixture.node.counter("not_sent"), 1);
 }
--- a/tests/request_tracker_fixture.hpp
+++ b/tests/request_tracker_fixture.hpp
@@ -46,8 +46,8 @@
 
     Time now() const override { return clock; }
     void startHealthCheck(EndpointId endpoint) override { healthChecks.push_back(endpoint); }
-    void watchList() override { ++listWatches; }
-    void withholdingChanged(EndpointId, bool on) override { ++(on ? withheld : withheldCleared); }
+    void startWatchingEndpointList() override { ++listWatches; }
+    void onWithholdingChanged(EndpointId, bool on) override { ++(on ? withheld : withheldCleared); }
 
     template <class E>
     const E& last() const {
--- a/tests/request_tracker_test.cpp
+++ b/tests/request_tracker_test.cpp
@@ -22,7 +22,7 @@
     ASSERT_EQ(decisions.size(), 1U);
     EXPECT_EQ(std::get<ForwardTo>(decisions[0]).endpoint, EndpointId{7});
     EXPECT_EQ(std::get<ForwardTo>(decisions[0]).timeout, 300ms);
-    EXPECT_FALSE(trackedRequest.hasDecision());
+    EXPECT_FALSE(trackedRequest.hasPendingDecision());
 }
 
 TEST(RequestTracker, HasNoDecisionWhileTheEngineHoldsTheRequestAndThenNotifiesTheListenerOnce) {
@@ -36,12 +36,12 @@
     f.answer = [id](const Event&) { return std::vector<Action>{RejectRequest{id, 400ms}}; };
     f.tracker.healthCheckCompleted(EndpointId{1}, Outcome::Ok, 1ms, std::nullopt);
     EXPECT_EQ(listener.notifications, 1);
-    EXPECT_TRUE(trackedRequest.hasDecision());
+    EXPECT_TRUE(trackedRequest.hasPendingDecision());
     const std::size_t before = f.events.size();
     takeInto(f.tracker, trackedRequest, decisions);
     ASSERT_EQ(decisions.size(), 1U);
     EXPECT_EQ(std::get<Rejection>(decisions[0]).retryAfter, 400ms);
-    EXPECT_FALSE(trackedRequest.hasDecision());
+    EXPECT_FALSE(trackedRequest.hasPendingDecision());
     EXPECT_EQ(listener.notifications, 1);
     EXPECT_EQ(f.events.size(), before) << "the engine gets the request only once";
 }
@@ -84,7 +84,7 @@
         return std::vector<Action>{CancelAttempt{id, AttemptIndex{0}}, FailRequest{id}};
     };
     f.tracker.endpointListFailed();
-    EXPECT_TRUE(trackedRequest.hasDecision());
+    EXPECT_TRUE(trackedRequest.hasPendingDecision());
     EXPECT_EQ(listener.notifications, before + 1);
     takeInto(f.tracker, trackedRequest, decisions);
     ASSERT_EQ(decisions.size(), 2U);
@@ -131,9 +131,9 @@
     f.answer = [](const Event& event) { return forwardTo(event, EndpointId{7}); };
     TrackedRequest out{f.tracker, listener, RequestAttributes{}};
     takeInto(f.tracker, out, decisions);
-    EXPECT_FALSE(out.hasDecision());
+    EXPECT_FALSE(out.hasPendingDecision());
     f.tracker.abandon(out);
-    EXPECT_TRUE(out.hasDecision());
+    EXPECT_TRUE(out.hasPendingDecision());
     const std::size_t before = f.events.size();
     f.tracker.abandon(out);
     EXPECT_EQ(f.events.size(), before) << "the second call has no effect";
@@ -147,7 +147,7 @@
     EXPECT_EQ(f.last<ConnectionResumed>().endpoint, EndpointId{3});
     const RequestId id = f.last<ConnectionResumed>().request.request;
     f.answer = [id](const Event&) { return std::vector<Action>{MigrateConnection{id}}; };
-    f.tracker.loadFigureReceived(trackedRequest, 40'000);
+    f.tracker.loadLineReceived(trackedRequest, 40'000);
     EXPECT_TRUE(trackedRequest.shouldMigrate());
     EXPECT_EQ(listener.notifications, 1);
     const std::size_t before = f.events.size();
@@ -179,22 +179,22 @@
 // endpoint look idle.
 TEST(RequestTracker, AFigureFarBelowTheExpectedLoadIsAMessageDelay) {
     EstablishedConnection f{true};
-    f.tracker.loadFigureReceived(f.trackedRequest, 23.5);
-    EXPECT_EQ(f.last<MessageDelayMeasured>().messageMs, 23.5);
+    f.tracker.loadLineReceived(f.trackedRequest, 23.5);
+    EXPECT_EQ(f.last<MessageDelayMeasured>().delayMs, 23.5);
     EXPECT_EQ(f.trackedRequest.load(), 50'000);
-    f.tracker.loadFigureReceived(f.trackedRequest, 5'000);
+    f.tracker.loadLineReceived(f.trackedRequest, 5'000);
     EXPECT_EQ(f.last<ConnectionLoadMeasured>().load, 5'000) << "idle";
 }
 
 TEST(RequestTracker, EveryFigureIsALoadWhereEndpointsReportNoMessageDelay) {
     EstablishedConnection f{false};
-    f.tracker.loadFigureReceived(f.trackedRequest, 23.5);
+    f.tracker.loadLineReceived(f.trackedRequest, 23.5);
     EXPECT_EQ(f.last<ConnectionLoadMeasured>().load, 23.5);
 }
 
 TEST(RequestTracker, TickRunsTimersThatAreDueAndReturnsTheNextDueTime) {
     TrackerFixture f;
-    EXPECT_EQ(f.tracker.tick(), Time::max());
+    EXPECT_EQ(f.tracker.runDueTimers(), Time::max());
     f.answer = [](const Event& event) {
         if (std::holds_alternative<Started>(event))
             return std::vector<Action>{SetTimer{20ms, TimerToken{1}}, SetTimer{50ms, TimerToken{2}},
@@ -204,9 +204,9 @@
     f.tracker.start({});
     EXPECT_EQ(f.listWatches, 1);
     EXPECT_EQ(f.healthChecks, std::vector{EndpointId{4}});
-    EXPECT_EQ(f.tracker.tick(), f.clock + 20ms);
+    EXPECT_EQ(f.tracker.runDueTimers(), f.clock + 20ms);
     f.clock += 30ms;
-    EXPECT_EQ(f.tracker.tick(), f.clock + 20ms);
+    EXPECT_EQ(f.tracker.runDueTimers(), f.clock + 20ms);
     EXPECT_EQ(f.last<TimerExpired>().token, TimerToken{1});
 }
 
--- a/tests/request_tracker_withholding_test.cpp
+++ b/tests/request_tracker_withholding_test.cpp
@@ -139,9 +139,9 @@
     StaleListFixture f;
     TrackedRequest trackedRequest{f.tracker, f.listener, RequestAttributes{}};
     ASSERT_TRUE(f.tracker.takeDecision(trackedRequest));
-    EXPECT_TRUE(f.tracker.isStillValid(trackedRequest, f.draining));
+    EXPECT_TRUE(f.tracker.isAttemptStillValid(trackedRequest, f.draining));
     f.tracker.movedByEndpoint(f.draining);
-    EXPECT_FALSE(f.tracker.isStillValid(trackedRequest, f.draining));
+    EXPECT_FALSE(f.tracker.isAttemptStillValid(trackedRequest, f.draining));
 }
 
 TEST(RequestTrackerWithholding, TwoRejectionsBelowCapacityWithholdBeforeTheEngineDecidesAgain) {
@@ -236,9 +236,9 @@
 TEST(RequestTrackerWithholding, ExpiresAfterTheEvidenceLifetime) {
     StaleListFixture f;
     f.tracker.movedByEndpoint(f.draining);
-    EXPECT_EQ(f.tracker.tick(), f.clock + kEvidenceLifetime);
+    EXPECT_EQ(f.tracker.runDueTimers(), f.clock + kEvidenceLifetime);
     f.clock += kEvidenceLifetime;
-    EXPECT_EQ(f.tracker.tick(), Time::max());
+    EXPECT_EQ(f.tracker.runDueTimers(), Time::max());
     EXPECT_EQ(f.reportedBan(f.draining), false);
     EXPECT_TRUE(f.tracker.accepts(f.draining));
 }
@@ -249,7 +249,7 @@
         Time clock = 1000s;
         Time now() const override { return clock; }
         void startHealthCheck(EndpointId) override {}
-        void watchList() override {}
+        void startWatchingEndpointList() override {}
     };
     SilentEnvironment environment;
     NodeSettings settings;
@@ -264,7 +264,7 @@
         int count = 0;
         for (int i = 0; i < 60; ++i) {
             environment.clock += 50ms;
-            tracker.tick();
+            tracker.runDueTimers();
             RequestAttributes attributes;
             attributes.requestClass = "chat";
             attributes.clientTimeout = 3s;
--- a/tests/socket_test.cpp
+++ b/tests/socket_test.cpp
@@ -24,11 +24,11 @@
     Scheduler scheduler;
     Signal signal{scheduler};
     const Socket listener = Socket::listenOn(signal, *Address::parse("127.0.0.1:0"), -1);
-    const Socket opened = Socket::connectTo(signal, listener.local());
+    const Socket opened = Socket::connectTo(signal, listener.localAddress());
     pollfd incoming{listener.descriptor(), POLLIN, 0};
     ASSERT_EQ(::poll(&incoming, 1, kTimeoutMs), 1);
     int descriptor = -1;
-    ASSERT_EQ(listener.accept(descriptor), Socket::Accepting::Taken);
+    ASSERT_EQ(listener.accept(descriptor), Socket::AcceptResult::Accepted);
     const Socket accepted{signal, descriptor};
     EXPECT_TRUE(isNagleDisabled(opened));
     EXPECT_TRUE(isNagleDisabled(accepted));
--- a/tests/stale_list_test.cpp
+++ b/tests/stale_list_test.cpp
@@ -40,10 +40,10 @@
 
     // Waits for the next request and returns the endpoint that received it.
     StubServer& awaitSelected() {
-        while (first.idle() && second.idle()) {
+        while (first.hasNoQueuedConnection() && second.hasNoQueuedConnection()) {
             std::this_thread::sleep_for(std::chrono::milliseconds(1));
         }
-        return first.idle() ? second : first;
+        return first.hasNoQueuedConnection() ? second : first;
     }
 
     // Opens connections until one is established at this endpoint, and returns that one.
@@ -51,7 +51,7 @@
         for (int i = 0; i < kMaxConnects; ++i) {
             TestConnection client = node->client(newOpeningLine());
             StubServer& selected = awaitSelected();
-            auto opened = selected.next();
+            auto opened = selected.nextOpened();
             opened.connection.send("UP r1\r\n");
             EXPECT_EQ(client.line(), "UP r1");
             if (&selected == &server) return {std::move(client), std::move(opened.connection)};
@@ -64,7 +64,7 @@
         StubServer& other = &server == &first ? second : first;
         for (int i = 0; i < kManyRequests; ++i) {
             establishConnection(*node, other);
-            EXPECT_TRUE(server.idle());
+            EXPECT_TRUE(server.hasNoQueuedConnection());
         }
     }
 
@@ -94,11 +94,11 @@
     for (int rejections = 0; rejections < 2;) {
         TestConnection client = node->client(newOpeningLine());
         StubServer& server = awaitSelected();
-        auto opened = server.next();
+        auto opened = server.nextOpened();
         if (&server == &first) {
             opened.connection.send("BUSY\r\n");
             ++rejections;
-            opened = second.next();
+            opened = second.nextOpened();
         }
         opened.connection.send("UP r1\r\n");
         EXPECT_EQ(client.line(), "UP r1");
--- a/tests/stub_server.hpp
+++ b/tests/stub_server.hpp
@@ -25,7 +25,7 @@
 
     std::string address() const { return listener_.address(); }
     // Waits for the next client connection.
-    Opened next() {
+    Opened nextOpened() {
         auto opened = opened_.pop();
         if (!opened) {
             ADD_FAILURE() << "the stub endpoint received no client connection";
@@ -34,7 +34,7 @@
         return std::move(*opened);
     }
     // Whether no client connection is queued.
-    bool idle() { return opened_.empty(); }
+    bool hasNoQueuedConnection() { return opened_.empty(); }
     int healthCheckConnections() const { return healthCheckConnections_; }
     int healthChecks() const { return healthChecks_; }
     void closeAfterEachHealthCheck() { closesAfterHealthCheck_ = true; }
