--- a/src/decision/endpoint.hpp
+++ b/src/decision/endpoint.hpp
@@ -28,9 +28,9 @@
 };
 
 struct HealthCheckState {
-    Time extraCheckAt{Time::max()};  // start of an additional check; max: none
-    Time startedAt{0};               // start of the last check
-    double intervalFactor = 0.0;     // of the interval, until the next periodic check; 0: no check yet
+    Time extraCheckAt{Time::max()};   // start of an additional check; max: none
+    Time startedAt{0};                // start of the last check
+    double nextIntervalFactor = 0.0;  // of the interval, until the next periodic check; 0: no check yet
     bool outstanding = false;
     int consecutiveUnanswered = 0;  // consecutive checks without any response
 };
--- a/src/decision/endpoint_selection_engine.cpp
+++ b/src/decision/endpoint_selection_engine.cpp
@@ -147,7 +147,7 @@
     Endpoint* endpoint = state_.endpoints.find(event.endpoint);
     if (endpoint == nullptr) return;
     recordHealthCheckResult(*endpoint, event, state_.settings, eventContext.now);
-    if (event.report) applyLoadReport(state_, *endpoint, *event.report, eventContext);
+    if (event.report) processLoadReport(state_, *endpoint, *event.report, eventContext);
     const double limit = kFullUtilisation * state_.saturationThreshold.withTolerance();
     const bool hasSpareCapacity = event.report && endpoint->utilisation < limit;
     retryWaitingRequests(state_, hasSpareCapacity ? RetryScope::All : RetryScope::PollResolved, eventContext);
@@ -228,7 +228,8 @@
 
 void EndpointSelectionEngine::on(const AttemptEnded& event, EventContext eventContext) {
     Endpoint* endpoint = state_.endpoints.find(event.endpoint);
-    if (endpoint != nullptr && event.report) applyLoadReport(state_, *endpoint, *event.report, eventContext);
+    if (endpoint != nullptr && event.report)
+        processLoadReport(state_, *endpoint, *event.report, eventContext);
     Request* request = state_.requests.find(event.request);  // null if the report caused its migration
     if (request == nullptr) return;
     if (endpoint != nullptr && event.outcome == Outcome::Ok) recordSuccess(*endpoint);
--- a/src/decision/endpoint_supervision.cpp
+++ b/src/decision/endpoint_supervision.cpp
@@ -44,8 +44,8 @@
     recordHealthCheckStart(endpoint, eventContext.now, state.random);
 }
 
-void applyLoadReport(DecisionState& state, Endpoint& endpoint, const LoadReport& report,
-                     EventContext eventContext) {
+void processLoadReport(DecisionState& state, Endpoint& endpoint, const LoadReport& report,
+                       EventContext eventContext) {
     if (!applyLoadReport(endpoint, report, eventContext.now)) return;
     state.fleet.invalidate();
     const FleetSnapshot& fleet = state.fleet.refresh(state.contextAt(eventContext.now), state.arrivals);
--- a/src/decision/endpoint_supervision.hpp
+++ b/src/decision/endpoint_supervision.hpp
@@ -14,8 +14,8 @@
 
 // Updates the endpoint and all estimates from a load report, and migrates connections off the endpoint if it
 // is overloaded. Migration erases the migrated requests from the request table.
-void applyLoadReport(DecisionState& state, Endpoint& endpoint, const LoadReport& report,
-                     EventContext eventContext);
+void processLoadReport(DecisionState& state, Endpoint& endpoint, const LoadReport& report,
+                       EventContext eventContext);
 
 // Migrates connections off unresponsive and draining endpoints; runs in each pass of the endpoint timer.
 void evacuateEndpoints(DecisionState& state, EventContext eventContext);
--- a/src/decision/fleet_snapshot.cpp
+++ b/src/decision/fleet_snapshot.cpp
@@ -21,8 +21,8 @@
     double load = 0.0;  // reported load over capacity
     double spareUtilisation = 0.0;
     double loadFromOtherNodes = 0.0;
-    double loadFromThisNode = 0.0;  // included in reports, fresh or not
-    double ownLoadOfFresh = 0.0;    // included in fresh reports
+    double loadFromThisNode = 0.0;                 // included in reports, fresh or not
+    double freshlyReportedLoadFromThisNode = 0.0;  // included in fresh reports
     double activeRequests = 0.0;
     int connectionsFromThisNode = 0;
     int freshReports = 0;
@@ -52,7 +52,7 @@
                                    effectiveCapacity(endpoint, context.settings, context.now);
     totals.utilisation += endpoint.utilisation;
     totals.load += endpoint.loadOverCapacity;
-    totals.ownLoadOfFresh += loadFromThisNode;
+    totals.freshlyReportedLoadFromThisNode += loadFromThisNode;
     totals.connectionsFromThisNode +=
         endpoint.connectionsFromThisNode - static_cast<int>(endpoint.recentSends.size());
     totals.activeRequests += endpoint.activeRequests;
@@ -74,7 +74,8 @@
 // one.
 double workOfAllNodes(const FleetTotals& totals, std::uint32_t nodes) {
     if (totals.activeRequests > 0 && totals.connectionsFromThisNode > 0)
-        return totals.activeRequests * totals.ownLoadOfFresh / totals.connectionsFromThisNode;
+        return totals.activeRequests * totals.freshlyReportedLoadFromThisNode /
+               totals.connectionsFromThisNode;
     return totals.loadFromThisNode * nodes * totals.freshReports /
            std::max(totals.freshReports + totals.usableWithoutFreshReport, 1);
 }
@@ -93,9 +94,10 @@
     snapshot_.loadFromOtherNodes = totals.loadFromOtherNodes;
     snapshot_.meanUtilisation =
         totals.freshReports > 0 ? totals.utilisation / totals.freshReports : kUnknownUtilisation;
-    snapshot_.spareUtilisation = totals.spareUtilisation;
-    snapshot_.spareUtilisation += totals.usableWithoutFreshReport *
-                                  spareUtilisation(snapshot_.meanUtilisation, context.saturationThreshold);
+    snapshot_.totalSpareUtilisation = totals.spareUtilisation;
+    snapshot_.totalSpareUtilisation +=
+        totals.usableWithoutFreshReport *
+        spareUtilisation(snapshot_.meanUtilisation, context.saturationThreshold);
     const double work = workOfAllNodes(totals, context.settings.nodes);
     capacity_.add({work, totals.load, totals.connectionsFromThisNode}, span);
     snapshot_.capacityPerLoad =
--- a/src/decision/fleet_snapshot.hpp
+++ b/src/decision/fleet_snapshot.hpp
@@ -18,7 +18,7 @@
 // Loads are in microseconds of work per second, utilisations in per cent.
 struct FleetSnapshot {
     double meanUtilisation = kUnknownUtilisation;  // mean of the fresh reports
-    double spareUtilisation = 0.0;    // of all usable endpoints, weighted by their effective capacity
+    double totalSpareUtilisation = 0.0;  // of all usable endpoints, weighted by their effective capacity
     double loadFromOtherNodes = 0.0;  // per endpoint, of clients that came from other nodes since its report
     double sendRate = 0.0;            // load that this node sends per second
     int recentSendCount = 0;          // number of this node's sends in the last seconds
--- a/src/decision/health_check_schedule.cpp
+++ b/src/decision/health_check_schedule.cpp
@@ -38,8 +38,8 @@
 std::optional<Micros> periodicHealthCheckInterval(std::size_t endpoints, double arrivalsPerSecond,
                                                   std::uint32_t nodes) {
     const double checksPerSecond = kChecksPerRequest * arrivalsPerSecond;
-    const double interval = static_cast<double>(endpoints) / checksPerSecond;
-    if (interval <= seconds(kMaxInterval)) return std::max(kMinInterval, scaled(1s, interval));
+    const double intervalSeconds = static_cast<double>(endpoints) / checksPerSecond;
+    if (intervalSeconds <= seconds(kMaxInterval)) return std::max(kMinInterval, scaled(1s, intervalSeconds));
     return isSmallFleet(nodes) ? std::optional(kMaxInterval) : std::nullopt;
 }
 
@@ -51,13 +51,13 @@
         periodicInterval || endpoint.connectionsFromThisNode > 0 || endpoint.healthCheckFailures > 0;
     if (!isPeriodic) return false;
     const Time dueAt =
-        check.startedAt + scaled(periodicInterval.value_or(kMaxInterval), check.intervalFactor);
-    return check.intervalFactor == 0.0 || now >= dueAt;
+        check.startedAt + scaled(periodicInterval.value_or(kMaxInterval), check.nextIntervalFactor);
+    return check.nextIntervalFactor == 0.0 || now >= dueAt;
 }
 
 void recordHealthCheckStart(Endpoint& endpoint, Time now, SplitMix64& random) {
     HealthCheckState& check = endpoint.healthCheck;
-    check.intervalFactor = check.intervalFactor == 0.0 ? 0.5 + random.next() : 1.0;
+    check.nextIntervalFactor = check.nextIntervalFactor == 0.0 ? 0.5 + random.next() : 1.0;
     check.extraCheckAt = Time::max();
     check.startedAt = now;
     check.outstanding = true;
--- a/src/decision/kind_capacity.cpp
+++ b/src/decision/kind_capacity.cpp
@@ -8,14 +8,14 @@
 // The sum of reported load over capacity at which the reports of a kind weigh as much as the other kinds and
 // the default.
 constexpr double kPriorLoad = 1.0;
-constexpr double kReportWeight = 0.005;  // weight of one report in the sums
+constexpr double kDecayPerReport = 0.005;  // weight of one report in the sums
 
 }  // namespace
 
 void KindCapacityEstimate::recordReport(const Endpoint& endpoint, double relativeSize) {
     Sums& sums = sums_[endpoint.entry.kind];
-    sums.connections += endpoint.activeRequests - sums.connections * kReportWeight;
-    sums.load += endpoint.loadOverCapacity * relativeSize - sums.load * kReportWeight;
+    sums.connections += endpoint.activeRequests - sums.connections * kDecayPerReport;
+    sums.load += endpoint.loadOverCapacity * relativeSize - sums.load * kDecayPerReport;
 }
 
 double KindCapacityEstimate::connectionsAtCapacity(KindIndex kind, double relativeSize,
--- a/src/decision/message_delay.cpp
+++ b/src/decision/message_delay.cpp
@@ -5,7 +5,8 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kLateShare = 0.5;  // of the objective; at such a mean delay, many messages exceed it
+// At such a mean delay, many messages exceed the objective.
+constexpr double kLateShareOfObjective = 0.5;
 constexpr double kMicrosPerMs = 1e3;
 
 }  // namespace
@@ -14,7 +15,7 @@
     if (objective <= Micros{0}) return;
     const double delayMicros = delayMs * kMicrosPerMs;
     const auto objectiveMicros = static_cast<double>(objective.count());
-    if (delayMicros <= kLateShare * objectiveMicros) return;
+    if (delayMicros <= kLateShareOfObjective * objectiveMicros) return;
     endpoint.lastLateMessageAt = now;
     if (delayMicros > objectiveMicros) scheduleImmediateCheck(endpoint, now);
 }
--- a/src/decision/utilisation_estimate.cpp
+++ b/src/decision/utilisation_estimate.cpp
@@ -12,12 +12,12 @@
 // sends, spread over the endpoints in proportion to their weights in the weighted selection, and otherwise as
 // this node's own sends. This prevents herding onto an endpoint whose last report shows little load.
 inline double UtilisationEstimate::sentByOtherNodes(const Endpoint& endpoint, double capacity) const {
-    if (fleet_.spareUtilisation <= 0.0) return 0.0;
+    if (fleet_.totalSpareUtilisation <= 0.0) return 0.0;
     const bool fresh = hasFreshReport(endpoint, context_.now);
     const Micros age = fresh ? context_.now - endpoint.reportedAt : Micros{0};
     const double spare = spareUtilisation(reported(endpoint), context_.saturationThreshold);
     const double spread =
-        fleet_.sendRate * seconds(age + kReportLag) * spare * capacity / fleet_.spareUtilisation;
+        fleet_.sendRate * seconds(age + kReportLag) * spare * capacity / fleet_.totalSpareUtilisation;
     const double nodes = context_.settings.nodes;
     const double confidence = fleet_.recentSendCount / (fleet_.recentSendCount + nodes);
     return (nodes - 1.0) * (confidence * recentNewLoad(endpoint) + (1.0 - confidence) * spread);
--- a/tests/decision/decision_engine_driver.hpp
+++ b/tests/decision/decision_engine_driver.hpp
@@ -96,11 +96,11 @@
         healthCheckLatencies_[EndpointId{id}] = span;
     }
     // Makes health checks of this endpoint time out.
-    void failHealthChecks(std::uint64_t id) {
+    void timeOutHealthChecks(std::uint64_t id) {
         healthCheckResults_[EndpointId{id}] = {Outcome::Timeout, std::nullopt};
     }
     // Makes this endpoint answer its health checks with an error.
-    void rejectHealthChecks(std::uint64_t id) {
+    void answerHealthChecksWithError(std::uint64_t id) {
         healthCheckResults_[EndpointId{id}] = {Outcome::Error, std::nullopt};
     }
 
--- a/tests/decision/endpoint_table_test.cpp
+++ b/tests/decision/endpoint_table_test.cpp
@@ -212,7 +212,7 @@
         << "Listed sizes are ignored with WeightKind::None.";
 }
 
-TEST(EndpointTable, InvalidSizesCountAsAverage) {
+TEST(EndpointTable, EndpointsWithInvalidSizesHaveRelativeSizeOne) {
     DecisionFixture f;
     f.list({entryOfSize(1, kNaN), entryOfSize(2, -4.0), entryOfSize(3, 0.0), entryOfSize(4, 4.0)},
            WeightKind::Nominal);
--- a/tests/decision/fleet_capacity_estimate_test.cpp
+++ b/tests/decision/fleet_capacity_estimate_test.cpp
@@ -23,7 +23,7 @@
 
 // A node that has just restarted gets all clients at once when the other node restarts, before it has learned
 // the capacity of the endpoints. It must accept them, based on the default capacity.
-TEST(FleetCapacityEstimate, NewNodeUsesTheCapacityOfTheFleet) {
+TEST(FleetCapacityEstimate, NewNodeAcceptsAllClientsByTheDefaultCapacity) {
     Settings settings = defaultSettings();
     settings.nodes = 2;
     DecisionEngineDriver fresh = makeFleet(settings, 4, 0.4);
--- a/tests/decision/fleet_snapshot_test.cpp
+++ b/tests/decision/fleet_snapshot_test.cpp
@@ -22,7 +22,7 @@
     SnapshotFixture f;
     const FleetSnapshot& snapshot = f.refresh();
     EXPECT_EQ(snapshot.meanUtilisation, 50.0);
-    EXPECT_EQ(snapshot.spareUtilisation, 0.0);
+    EXPECT_EQ(snapshot.totalSpareUtilisation, 0.0);
     EXPECT_EQ(snapshot.loadFromOtherNodes, 0.0);
     EXPECT_EQ(snapshot.sendRate, 0.0);
     EXPECT_TRUE(std::isfinite(snapshot.capacityPerLoad));
@@ -42,7 +42,7 @@
     f.list({endpointEntry(1), endpointEntry(2), endpointEntry(3)});
     f.report(1, 0.2);
     f.report(2, 0.6);
-    EXPECT_DOUBLE_EQ(f.refresh().spareUtilisation, 80.0 + 40.0 + 60.0);
+    EXPECT_DOUBLE_EQ(f.refresh().totalSpareUtilisation, 80.0 + 40.0 + 60.0);
 }
 
 TEST(FleetSnapshot, SpareUtilisationCountsUsableEndpointsOnly) {
@@ -54,7 +54,7 @@
         f.report(id, 0.2);
     f.endpoints.setBanned(EndpointId{3}, true);
     f.endpoint(4).healthCheckFailures = kUnhealthyAfterFailures;
-    EXPECT_DOUBLE_EQ(f.refresh().spareUtilisation, 80.0);
+    EXPECT_DOUBLE_EQ(f.refresh().totalSpareUtilisation, 80.0);
 }
 
 TEST(FleetSnapshot, IsRecomputedOnlyWhenOutdated) {
--- a/tests/decision/health_check_schedule_test.cpp
+++ b/tests/decision/health_check_schedule_test.cpp
@@ -120,7 +120,7 @@
     const RequestId request = d.submitRequest();
     const std::uint64_t failing = d.target(request);
     const int before = d.healthChecksOf(failing);
-    d.failHealthChecks(failing);
+    d.timeOutHealthChecks(failing);
     d.endAttempt(request, Outcome::ConnectFailed);
     d.advance(650ms);
     EXPECT_GE(d.healthChecksOf(failing) - before, 2)
--- a/tests/decision/load_polling_test.cpp
+++ b/tests/decision/load_polling_test.cpp
@@ -37,7 +37,7 @@
     }
 }
 
-TEST(LoadPolling, EachRequestPollsFourEndpoints) {
+TEST(LoadPolling, RequestPollsAtMostFourEndpoints) {
     const Settings settings = defaultSettings();
     Request request;
     for (std::uint64_t id = 1; id <= 4; ++id) {
--- a/tests/decision/migration_test.cpp
+++ b/tests/decision/migration_test.cpp
@@ -95,7 +95,7 @@
         connections += d.attemptsTo(id);
         EndpointEntry entry = endpointEntry(id);
         entry.availability = Availability::Draining;
-        d.rejectHealthChecks(id);
+        d.answerHealthChecksWithError(id);
         d.updateEndpointList({entry}, EndpointListKind::Delta);
     }
     return connections;
@@ -119,16 +119,16 @@
         << "A draining endpoint serves its connections until it stops, though it rejects health checks.";
 }
 
-TEST(Migration, LeavesUnresponsiveEndpointButNotOneThatRejectsHealthChecks) {
+TEST(Migration, LeavesUnresponsiveEndpointButNotOneThatAnswersHealthChecksWithErrors) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 6, 0.3);
     for (int i = 0; i < 40; ++i) {
         d.establishConnection(d.submitRequest());
     }
-    d.rejectHealthChecks(1);
+    d.answerHealthChecksWithError(1);
     d.advance(10s);
     EXPECT_EQ(d.count<MigrateConnection>(), 0)
         << "The process of the endpoint runs and serves its connections.";
-    d.failHealthChecks(2);
+    d.timeOutHealthChecks(2);
     d.advance(10s);
     EXPECT_EQ(d.count<MigrateConnection>(), d.attemptsTo(2));
 }
@@ -139,7 +139,7 @@
         d.establishConnection(d.submitRequest());
     }
     const int connections = d.attemptsTo(1);
-    d.failHealthChecks(1);
+    d.timeOutHealthChecks(1);
     d.advance(8s);
     EXPECT_EQ(d.count<MigrateConnection>(), connections);
 }
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -13,7 +13,7 @@
 
 TEST(OutlierDetection, TwoFailedChecksEjectAndOneSuccessReadmits) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), 2, 0.3);
-    d.failHealthChecks(1);
+    d.timeOutHealthChecks(1);
     d.advance(3s);
     const int before = d.attemptsTo(1);
     d.serveRequests(50);
@@ -104,7 +104,7 @@
         << "The slowdown is clamped to 10.";
 }
 
-TEST(Slowdown, ExpectsTheLoadOfAllNodes) {
+TEST(Slowdown, ExpectedLoadIncludesOtherNodes) {
     EXPECT_DOUBLE_EQ(slowdownAfterReports(endpointWithConnections(0.8), 10, 2), 1.0);
     Endpoint counted = endpointWithConnections(0.8);
     counted.activeRequests = 200;  // twice this node's connections
@@ -112,7 +112,7 @@
         << "The reported number of requests takes precedence over the number of nodes.";
 }
 
-TEST(Slowdown, ExpectsMoreOfAnEndpointThatWarmsUp) {
+TEST(Slowdown, HighLoadOfWarmingUpEndpointIsNotASlowdown) {
     Endpoint endpoint = endpointWithConnections(0.8);
     learnSlowdown(endpoint, kCapacityPerLoad, 0.5, 1);
     EXPECT_DOUBLE_EQ(endpoint.slowdown, 1.0);
--- a/tests/decision/settings_change_test.cpp
+++ b/tests/decision/settings_change_test.cpp
@@ -45,7 +45,7 @@
 
 TEST(SettingsChange, AddedClassAppliesAndEndpointStateIsKept) {
     DecisionEngineDriver d = makeDriver(defaultSettings(), {endpointEntry(1), endpointEntry(2)});
-    d.failHealthChecks(1);
+    d.timeOutHealthChecks(1);
     d.advance(3s);
     Settings more = defaultSettings();
     more.classes.push_back(more.classes[0]);
--- a/tests/decision/utilisation_estimate_test.cpp
+++ b/tests/decision/utilisation_estimate_test.cpp
@@ -218,7 +218,7 @@
     f.settings.nodes = 3;
     f.report(1, 0.6);
     f.fleet.sendRate = 1e6;
-    f.fleet.spareUtilisation = 40.0;  // of the only endpoint
+    f.fleet.totalSpareUtilisation = 40.0;  // of the only endpoint
     // Two other nodes send 1e6 per second since the report and its lag of 0.7 s: 1.4e6, then 3.4e6.
     EXPECT_DOUBLE_EQ(f.current(), 60.0 + 14.0);
     EXPECT_DOUBLE_EQ(f.current(kNow + 1s), 60.0 + 34.0);
@@ -229,7 +229,7 @@
     f.settings.nodes = 3;
     f.report(1, 0.6);
     f.fleet.sendRate = 1e6;
-    f.fleet.spareUtilisation = 0.0;
+    f.fleet.totalSpareUtilisation = 0.0;
     EXPECT_DOUBLE_EQ(f.current(), 60.0) << "There must be no division by zero.";
 }
 
