--- a/src/decision/connection_accounting.cpp
+++ b/src/decision/connection_accounting.cpp
@@ -3,7 +3,8 @@
 namespace ivyreel {
 namespace {
 
-// Does not depend on the current settings, so that every connection that was added is also removed.
+// Counts the tenant and the group whatever the settings say about quotas and group affinity: the settings may
+// change between the addition and the removal of a connection.
 void countForTenantAndGroup(DecisionState& state, const Request& request, int change) {
     state.admission.changeConnections(request.arrival.tenant, change);
     if (request.arrival.group == GroupId{0}) return;
--- a/src/decision/connection_accounting.hpp
+++ b/src/decision/connection_accounting.hpp
@@ -1,5 +1,6 @@
-// Adds this node's attempts and open connections to all counters that include them, and removes them again:
-// those of the endpoint, the send rate, the tenant and the affinity group.
+// Adds this node's attempts and open connections to the counters of their endpoint, tenant and affinity
+// group, and removes them again. The removal also covers the recent sends and the send rate, to which
+// request_placement adds an attempt.
 #pragma once
 
 #include "decision/decision_state.hpp"
--- a/src/decision/endpoint.hpp
+++ b/src/decision/endpoint.hpp
@@ -19,18 +19,23 @@
 inline constexpr Micros kReportLag = std::chrono::milliseconds(700);  // usual age of the values in a report
 inline constexpr int kUnhealthyAfterFailures = 2;  // consecutive health checks; one may fail by chance
 
-// An attempt or connection that the endpoint's last load report cannot include yet.
+// An attempt or connection that is too new for the endpoint's last load report, which probably does not
+// include it.
 struct RecentSend {
     RequestId request;
     Time sentAt;
     double load;
-    bool fromAnotherNode;  // the client was connected through another node, so reports include its load
+    // The client was connected through another node; the report of its previous endpoint may include its
+    // load.
+    bool fromAnotherNode;
 };
 
 struct HealthCheckState {
-    Time extraCheckAt{Time::max()};   // start of an additional check; max: none
-    Time startedAt{0};                // start of the last check
-    double nextIntervalFactor = 0.0;  // of the interval, until the next periodic check; 0: no check yet
+    Time extraCheckAt{Time::max()};  // start of an additional check; max: none
+    Time startedAt{0};               // start of the last check
+    // Time from the last check to the next periodic check, as a multiple of the interval; 0: no check yet.
+    // It is random after the first check and 1 after later ones.
+    double nextIntervalFactor = 0.0;
     bool outstanding = false;
     int consecutiveUnanswered = 0;  // consecutive checks without any response
 };
--- a/src/decision/endpoint_list_polling.hpp
+++ b/src/decision/endpoint_list_polling.hpp
@@ -1,5 +1,5 @@
-// Decides when to poll the endpoint list again: after a failure with exponential backoff and jitter, and
-// after a poll without any response. The caller makes the first poll at the start.
+// Decides when to poll the endpoint list again in DiscoveryMode::Poll: after a failure with exponential
+// backoff and jitter, and after a poll without any response. The caller makes the first poll at the start.
 #pragma once
 
 #include "decision/types.hpp"
@@ -13,7 +13,8 @@
     // after half of it.
     void recordPoll(Time now, Micros maxPollInterval);
     void recordFailure(Time now, Micros maxPollInterval, SplitMix64& random);
-    // Resets the backoff. The list is watched from then on, so no further poll is due.
+    // Resets the backoff. Discovery sends the changes of the list from then on, so no poll is due until the
+    // next failure.
     void recordSuccess();
     bool isDue(Time now) const { return now >= dueAt_; }
 
--- a/src/decision/endpoint_table.hpp
+++ b/src/decision/endpoint_table.hpp
@@ -41,7 +41,8 @@
     // The number of listed endpoints that are banned or unhealthy.
     std::size_t excludedCount() const;
 
-    // The mean listed size of an endpoint, in capacity units; 0 if the list states no sizes.
+    // The mean listed capacity of all endpoints in the table, in cores. Negative and NaN values count as 0.
+    // Returns 0 if the settings say that the list states no sizes (WeightKind::None and Live).
     double meanListedSize() const { return meanListedSize_; }
     // The endpoint's listed size over the mean; 1 if the list states no valid size.
     double relativeSize(const Endpoint& endpoint) const {
--- a/src/decision/events.hpp
+++ b/src/decision/events.hpp
@@ -26,7 +26,7 @@
     ZoneIndex zone{};
     KindIndex kind{};
     CellId cell{};
-    double listedCapacity = 1.0;  // Settings::weightKind defines the unit
+    double listedCapacity = 1.0;  // Settings::weightKind states what it means
     Availability availability = Availability::Ready;
     Time startedAt{0};  // start of its process; 0: unknown, long ago
 };
--- a/src/decision/fleet_capacity_estimate.hpp
+++ b/src/decision/fleet_capacity_estimate.hpp
@@ -25,10 +25,11 @@
     // Adds a sample that was valid for `spanSeconds`.
     void add(const FleetLoadSample& sample, double spanSeconds);
 
-    // Departure, a steady capacity: the samples of a minute determine the capacity of a typical endpoint.
-    // While the samples cover few connections, the result is close to the mean listed size, in cores, or to
-    // `defaultCapacity` where that mean is 0. This prevents a wrong estimate while the node has little load:
-    // after a restart of other nodes or its own, or where it has one or two of hundreds of connections.
+    // Departure, a steady capacity: the estimate is the work over the load of the samples, averaged over a
+    // minute. While the samples cover few connections, the result is close to the mean listed size, in cores,
+    // or to `defaultCapacity` where that mean is 0. This prevents a wrong estimate while the node has little
+    // load: after a restart of other nodes or its own, or where an endpoint has hundreds of connections and
+    // only one or two of them come from this node.
     double typicalCapacity(double defaultCapacity, double meanListedSize) const;
 
     void store(LearnedFleetState& learned) const;
--- a/src/decision/fleet_snapshot.cpp
+++ b/src/decision/fleet_snapshot.cpp
@@ -21,10 +21,10 @@
     double load = 0.0;  // reported load over capacity
     double spareUtilisation = 0.0;
     double loadFromOtherNodes = 0.0;
-    double loadFromThisNode = 0.0;                 // included in reports, fresh or not
-    double freshlyReportedLoadFromThisNode = 0.0;  // included in fresh reports
+    double loadFromThisNode = 0.0;                 // at all listed endpoints, without recent sends
+    double freshlyReportedLoadFromThisNode = 0.0;  // at endpoints with fresh reports, without recent sends
     double activeRequests = 0.0;
-    int connectionsFromThisNode = 0;
+    int connectionsFromThisNode = 0;  // at endpoints with fresh reports, without recent sends
     int freshReports = 0;
     int usableWithoutFreshReport = 0;
     int recentSends = 0;
--- a/src/decision/fleet_snapshot.hpp
+++ b/src/decision/fleet_snapshot.hpp
@@ -18,10 +18,12 @@
 // Loads are in microseconds of work per second, utilisations in per cent.
 struct FleetSnapshot {
     double meanUtilisation = kUnknownUtilisation;  // mean of the fresh reports
-    double totalSpareUtilisation = 0.0;  // of all usable endpoints, weighted by their effective capacity
+    // Sum over the usable endpoints. An endpoint with a fresh report counts times its effective capacity;
+    // each other one counts as an endpoint with the mean utilisation.
+    double totalSpareUtilisation = 0.0;
     double loadFromOtherNodes = 0.0;  // per endpoint, of clients that came from other nodes since its report
     double sendRate = 0.0;            // load that this node sends per second
-    int recentSendCount = 0;          // number of this node's sends in the last seconds
+    int recentSendCount = 0;          // this node's sends in the last 2 s that no report includes
     double capacityPerLoad = 1.0 / kDefaultCapacity;  // share of a typical capacity per unit of load
 };
 
--- a/src/decision/health_check_schedule.cpp
+++ b/src/decision/health_check_schedule.cpp
@@ -13,7 +13,7 @@
 // A load report changes at most once a second (draft-rosenberg-dispatch-cloudsip, 9.2.1).
 constexpr Micros kMinInterval = 1s;
 constexpr Micros kMaxInterval = 4500ms;    // even a late answer arrives before the last report is 5 s old
-constexpr double kChecksPerRequest = 4.0;  // maximum of periodic checks of all endpoints per request
+constexpr double kChecksPerRequest = 4.0;  // periodic checks of all endpoints over requests, maximum
 constexpr Micros kConfirmationInterval = 250ms;  // the draft's health check interval (9.1.1)
 constexpr double kLateMultiple = 1.5;        // of the mean round trip; the network alone causes such delays
 constexpr double kLateMarginMicros = 2'000;  // added to the limit; smaller differences are random
--- a/src/decision/health_check_schedule.hpp
+++ b/src/decision/health_check_schedule.hpp
@@ -18,7 +18,8 @@
 // nodes together.
 bool isSmallFleet(std::uint32_t nodes);
 
-// Returns the interval of the periodic checks of all endpoints, so that a request causes only a few checks.
+// Returns the interval at which each endpoint is checked, so that there are only a few times as many periodic
+// checks as requests.
 // Returns nothing if the fleet is large and the interval is too long to keep reports fresh.
 std::optional<Micros> periodicHealthCheckInterval(std::size_t endpoints, double arrivalsPerSecond,
                                                   std::uint32_t nodes);
@@ -29,18 +30,21 @@
 // from outnumbering requests by hundreds and consuming the endpoints' capacity.
 bool isHealthCheckDue(const Endpoint& endpoint, std::optional<Micros> periodicInterval, Time now);
 
-// Records that a health check starts now, and draws the random offset of the first one.
+// Records that a health check starts now. At the first check, which is due at once, draws the random interval
+// until the second one, so that the periodic checks of different endpoints are not synchronised.
 void recordHealthCheckStart(Endpoint& endpoint, Time now, SplitMix64& random);
 
-// Departure, confirmation: an endpoint that failed an attempt or a health check, or answered one late, is
-// checked again after the health check interval of draft-rosenberg-dispatch-cloudsip, until a check succeeds
-// or the endpoint is certainly unhealthy. This prevents connections from waiting on a broken link or on a
+// Departure, confirmation: after a failed attempt, a failed health check or, in a small fleet, a late answer
+// to a health check, the endpoint is checked again after the health check interval of
+// draft-rosenberg-dispatch-cloudsip, unless one more check has failed than makes the endpoint unhealthy.
+// This prevents connections from waiting on a broken link or on a
 // dead or slow endpoint.
 void scheduleConfirmation(Endpoint& endpoint, Time now);
 
 // Departure, immediate check: an endpoint whose messages miss their latency objective is checked at once,
-// unless a check started very recently. This prevents a growing backlog until the next periodic check of a
-// large fleet, whose load report triggers the migration of connections.
+// unless a check started very recently. The load report of the check can trigger the migration of
+// connections. This prevents a backlog from growing until the next periodic check, which can be seconds later
+// in a large fleet.
 void scheduleImmediateCheck(Endpoint& endpoint, Time now);
 
 // Updates the endpoint's health from a completed check. load_report_handling processes the load report.
--- a/src/decision/kind_capacity.cpp
+++ b/src/decision/kind_capacity.cpp
@@ -8,7 +8,7 @@
 // The sum of reported load over capacity at which the reports of a kind weigh as much as the other kinds and
 // the default.
 constexpr double kPriorLoad = 1.0;
-constexpr double kDecayPerReport = 0.005;  // weight of one report in the sums
+constexpr double kDecayPerReport = 0.005;  // share of the sums that each report removes
 
 }  // namespace
 
--- a/src/decision/learned_state.hpp
+++ b/src/decision/learned_state.hpp
@@ -15,12 +15,14 @@
     int utilisation = 0;            // per cent, 0 to 100
     double loadOverCapacity = 0.0;  // as reported, not clamped to 1
     double activeRequests = 0.0;    // of all nodes, as reported by the endpoint
-    double slowdown = 1.0;          // reported load over that of a typical endpoint with the same connections
-    double setupSlowdown = 1.0;     // connection set-up time over the typical one
-    double roundTripMicros = 0.0;   // mean of the health checks
+    double slowdown = 1.0;          // reported load over the load expected from the connections, damped
+    // From connection set-ups.
+    double setupSlowdown = 1.0;  // set-up time over twice the typical set-up time, damped
     // From health checks and attempts.
-    int healthCheckFailures = 0;  // consecutive
-    double successRate = 1.0;     // of recent attempts
+    double roundTripMicros = 0.0;  // mean of the health checks
+    int healthCheckFailures = 0;   // consecutive
+    double successRate = 1.0;      // of recent attempts
+    // From message delays.
     Time lastLateMessageAt{Time::min() / 2};
     // Times that limit slow start and migration.
     Time slowStartSlotsUsedUntil{0};  // slow-start slots from before this time count as used
@@ -29,10 +31,12 @@
 
 struct LearnedFleetState {
     double saturationThreshold = 0.0;  // load over capacity at which messages start to be late
-    // Sums of value times seconds, decaying exponentially with a time constant of a minute:
-    double workSeconds = 0.0;               // work of all nodes, microseconds per second
-    double loadSeconds = 0.0;               // load over capacity that the endpoints report
-    double connectionSeconds = 0.0;         // this node's connections
+    // The next three members are sums of value times seconds, which decay exponentially with a time constant
+    // of a minute.
+    double workSeconds = 0.0;        // of the work of all nodes (microseconds per second)
+    double loadSeconds = 0.0;        // of the load over capacity that the endpoints report
+    double connectionSeconds = 0.0;  // of the number of this node's connections
+
     double arrivalRate = 0.0;               // of this node's requests, per second
     double meanSetupMicros = 0.0;           // mean time to set up a connection
     double typicalSetupMicros = 0.0;        // typical time to set up a connection, without the round trips
--- a/src/decision/load_polling.hpp
+++ b/src/decision/load_polling.hpp
@@ -1,5 +1,5 @@
-// Polls an endpoint's load by a health check on behalf of a request, if the endpoint's last report is too
-// old.
+// Decides whether a request polls an endpoint's load by a health check, because the endpoint's last report is
+// too old, and how long the request waits for the answer.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,8 @@
 
 namespace ivyreel {
 
-// Whether the endpoint's load is known so well that a poll would not improve it.
+// Whether a poll would not improve what is known of the endpoint's load: the last report is recent, or health
+// checks cannot return a load.
 inline bool isLoadKnown(const Endpoint& endpoint, const Settings& settings, Time now) {
     // Two of the report intervals of draft-rosenberg-dispatch-cloudsip.
     constexpr Micros kMaxReportAge = std::chrono::seconds(2);
@@ -26,7 +27,8 @@
     return std::find(polled.begin(), polled.end(), endpoint.entry.id) != polled.end();
 }
 
-// Whether the request may poll the endpoint, or is still waiting for the answer to an earlier poll.
+// Whether the request may wait for a poll of the endpoint: a new poll, or an earlier one without an answer
+// yet.
 bool canBePolled(const Endpoint& endpoint, const Request& request, const Settings& settings, Time now);
 
 // Records that the request waits for the endpoint's answer from now on. The health check may have been
--- a/src/decision/load_report_handling.hpp
+++ b/src/decision/load_report_handling.hpp
@@ -7,9 +7,9 @@
 
 namespace ivyreel {
 
-// Sets the utilisation to the reported load over capacity, or to the CPU utilisation if that is not reported.
-// Returns whether the report states either. If so, sends that the report includes are removed from the recent
-// sends.
+// Sets the active requests, to 0 if the report does not state them. If the report states the load over
+// capacity or, in its place, the CPU utilisation, sets the load, the utilisation and the time of the report,
+// removes the sends that the report includes from the recent sends, and returns true.
 bool applyLoadReport(Endpoint& endpoint, const LoadReport& report, Time now);
 
 }  // namespace ivyreel
--- a/src/decision/message_delay.cpp
+++ b/src/decision/message_delay.cpp
@@ -5,7 +5,7 @@
 namespace ivyreel {
 namespace {
 
-// At such a mean delay, many messages exceed the objective.
+// Delays above this share count as late: at such a mean delay, many messages exceed the objective.
 constexpr double kLateShareOfObjective = 0.5;
 constexpr double kMicrosPerMs = 1e3;
 
--- a/src/decision/message_delay.hpp
+++ b/src/decision/message_delay.hpp
@@ -6,8 +6,9 @@
 
 namespace ivyreel {
 
-// `objective` is the message latency objective of the connection's class. If it is 0, none is stated and no
-// message counts as late.
+// A delay above half of the objective counts as late; a delay above the objective also schedules an immediate
+// health check. `objective` is the message latency objective of the connection's class. If it is 0, none is
+// stated and no message counts as late.
 void recordMessageDelay(Endpoint& endpoint, double delayMs, Micros objective, Time now);
 
 }  // namespace ivyreel
--- a/src/decision/migration.cpp
+++ b/src/decision/migration.cpp
@@ -15,7 +15,9 @@
 
 constexpr double kReliefMargin = 0.05;    // load over capacity that the target is below the threshold
 constexpr double kSlowTargetShare = 0.5;  // of the threshold; a slow endpoint may become slower
-constexpr Micros kSettleTime = 2s;  // until reports show a migration: reconnect gap, report interval and lag
+// Time until reports show a migration: reconnect gap, report interval and lag. It is also the time constant
+// of the migration off a draining endpoint.
+constexpr Micros kSettleTime = 2s;
 constexpr int kMaxUnansweredHealthChecks = 2;  // consecutive; an endpoint with more is unresponsive
 // Share of the load on an endpoint that migrates per pass; most of the load migrates within a third of a
 // second.
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -3,12 +3,14 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kAttemptWeight = 0.2;      // of one attempt in the success rate: about five attempts count
-constexpr double kHealthCheckWeight = 0.1;  // of one check: raises the success rate to half in about 7 s
-constexpr double kMinSuccessRate = 0.05;    // keeps a few attempts going, so that recovery is detected
-constexpr double kSlowdownWeight = 0.4;     // weight of one report or set-up: the last two or three dominate
-constexpr double kMaxSlowdown = 10.0;       // a tenth of the typical capacity; less leaves the endpoint idle
-constexpr double kNegligibleLoad = 0.15;    // load over capacity; lower loads do not indicate a slowdown
+constexpr double kAttemptWeight = 0.2;  // of one attempt in the success rate: about five attempts count
+// Weight of one check in the success rate: about seven checks raise it from the minimum to one half, in about
+// 7 s at the shortest interval.
+constexpr double kHealthCheckWeight = 0.1;
+constexpr double kMinSuccessRate = 0.05;  // keeps a few attempts going, so that recovery is detected
+constexpr double kSlowdownWeight = 0.4;   // weight of one report or set-up: the last two or three dominate
+constexpr double kMaxSlowdown = 10.0;     // a tenth of the typical capacity; less leaves the endpoint idle
+constexpr double kNegligibleLoad = 0.15;  // load over capacity; lower loads do not indicate a slowdown
 constexpr double kNegligibleSetupMicros = 5'000;
 constexpr double kTypicalSetupMultiple = 2.0;  // of the typical time; bursts alone cause such times
 constexpr double kSetupTimeWeight = 0.05;      // weight of one set-up in the means
--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -1,8 +1,9 @@
 // Detects endpoints that fail attempts or are slow, from the outcomes of attempts, load reports and set-up
 // times.
 //
-// The results are stored in the endpoint: successRate (0 to 1), slowdown and setupSlowdown (at least 1; 2
-// means that the endpoint takes twice as long as a typical one).
+// The results are stored in the endpoint: successRate (0 to 1), slowdown and setupSlowdown (both at least 1).
+// The slowdown is the reported load over the load expected from the connections. The setupSlowdown is the
+// set-up time over twice the typical set-up time. Both are smoothed, and damped for small loads and times.
 #pragma once
 
 #include <algorithm>
@@ -39,11 +40,13 @@
 }
 
 // Departure, slow endpoints: an endpoint whose reported load is far above the load that its connections cause
-// at a typical endpoint is weighted by its effective capacity, and load that is sent there counts by the same
-// capacity. This prevents alternately overloading and relieving the endpoint. Call this function when a load
-// report of the endpoint has been applied. `capacityPerLoad` is the share of a typical endpoint's capacity
-// that one unit of load takes; `warmUpShare` is the share of its own capacity that the endpoint has at
-// present.
+// at a typical endpoint has a slowdown, by which effectiveCapacity() divides: for the weight of the endpoint
+// and for the utilisation that sent load adds. This prevents alternately overloading and relieving the
+// endpoint.
+//
+// Updates the slowdown of the endpoint. Call this function when a load report of the endpoint has been
+// applied. `capacityPerLoad` is the share of a typical endpoint's capacity that one unit of load takes;
+// `warmUpShare` is the share of its own capacity that the endpoint has at present.
 void learnSlowdown(Endpoint& endpoint, double capacityPerLoad, double warmUpShare, std::uint32_t nodes);
 
 // Mean and typical connection set-up times over all endpoints.
--- a/src/decision/settings.hpp
+++ b/src/decision/settings.hpp
@@ -19,14 +19,21 @@
 // Which endpoints share the idempotency keys of executed requests.
 enum class DeduplicationScope { All, Zone, Cell };
 
+// Whether discovery sends the endpoint list unasked (Push), or this node requests the list and discovery then
+// sends its changes (Poll).
 enum class DiscoveryMode { Push, Poll };
 enum class LoadReportMode { WithResponses, WithHealthChecks, None };
 
 // Whether a connection ends at this node (Proxy), or its packets pass through any node (Passthrough).
 enum class ForwardingMode { Proxy, Passthrough };
 
-// What the capacity units of an entry in the endpoint list mean.
-enum class WeightKind { None, Nominal, Rough, Live };
+// What the listed capacity of an entry in the endpoint list means.
+enum class WeightKind {
+    None,     // nothing; it is ignored
+    Nominal,  // the size of the endpoint, in cores
+    Rough,    // the size of the endpoint, in cores; treated like Nominal
+    Live,     // no size; it is ignored
+};
 
 // The settings of a class of requests.
 struct RequestClassSettings {
@@ -57,12 +64,18 @@
 
 // The bounds that operators set for discovery, draining and slow start.
 struct OperatingLimits {
-    Micros responseSlack{0};     // after the client's deadline; an answer within it still counts
-    Micros drainGracePeriod{0};  // after the notice of a drain; new connections are still allowed within it
+    // An answer within this time after the client's deadline still counts; the decision module does not use
+    // it.
+    Micros responseSlack{0};
+    // Time after the notice of a drain in which endpoints still allow new connections. The decision module
+    // does not use it; for the node, it is the deadline for pushed list changes.
+    Micros drainGracePeriod{0};
     double slowStartInitialShare = 1.0;  // minimum share of its capacity that a new endpoint has
-    Micros slowStartDuration{0};         // until a new endpoint has its full capacity
-    double overloadMultiple = 1.0;       // of its present capacity; a warming-up endpoint that gets more load
-    Micros overloadWindow{1'000'000};    // within this time fails
+    Micros slowStartDuration{0};         // time until a new endpoint has its full capacity
+    // An endpoint that is warming up fails if it gets more load than this multiple of its present capacity
+    // within the overload window.
+    double overloadMultiple = 1.0;
+    Micros overloadWindow{1'000'000};
     Micros maxPollInterval{10'000'000};  // without a poll or a watch for longer, the endpoint list is stale
 };
 
--- a/src/decision/utilisation_estimate.cpp
+++ b/src/decision/utilisation_estimate.cpp
@@ -8,9 +8,10 @@
 namespace ivyreel {
 
 // Departure, accounting between reports: the load that was sent to an endpoint since its last report is added
-// to the report. Each other node is assumed to send as much as this one: while this node has few recent
-// sends, spread over the endpoints in proportion to their weights in the weighted selection, and otherwise as
-// this node's own sends. This prevents herding onto an endpoint whose last report shows little load.
+// to the report. Each other node is assumed to send as much as this one. Its distribution over the endpoints
+// is assumed to be a mean of two: one in proportion to the weights in the weighted selection, and that of
+// this node's own sends. The more recent sends this node has, the more the latter counts. This prevents
+// herding onto an endpoint whose last report shows little load.
 inline double UtilisationEstimate::sentByOtherNodes(const Endpoint& endpoint, double capacity) const {
     if (fleet_.totalSpareUtilisation <= 0.0) return 0.0;
     const bool fresh = hasFreshReport(endpoint, context_.now);
--- a/src/decision/utilisation_estimate.hpp
+++ b/src/decision/utilisation_estimate.hpp
@@ -1,5 +1,6 @@
-// Estimates the present utilisation of an endpoint, in per cent, from its last report and the load that this
-// node has sent there since, plus an estimate of what the other nodes have sent.
+// Estimates the present utilisation of an endpoint, in per cent, from its last report, the load that this
+// node has sent there since, an estimate of what the other nodes have sent, and the load of clients that have
+// moved from other nodes to this one.
 #pragma once
 
 #include "decision/decision_context.hpp"
@@ -19,7 +20,8 @@
     double reported(const Endpoint& endpoint) const {
         return hasFreshReport(endpoint, context_.now) ? endpoint.utilisation : fleet_.meanUtilisation;
     }
-    // The reported utilisation, plus the load that was sent since that report.
+    // The reported utilisation, plus the load that this node and the other nodes sent since that report,
+    // minus the load of clients that came from other nodes, which reports still include.
     double current(const Endpoint& endpoint, double capacity) const;
     // The utilisation that this load would add, in per cent.
     double added(const Endpoint& endpoint, double load, double capacity) const {
--- a/tests/decision/decision_engine_driver.hpp
+++ b/tests/decision/decision_engine_driver.hpp
@@ -99,7 +99,7 @@
     void timeOutHealthChecks(std::uint64_t id) {
         healthCheckResults_[EndpointId{id}] = {Outcome::Timeout, std::nullopt};
     }
-    // Makes this endpoint answer its health checks with an error.
+    // Makes this endpoint answer its health checks with an error, which counts as a failed check.
     void answerHealthChecksWithError(std::uint64_t id) {
         healthCheckResults_[EndpointId{id}] = {Outcome::Error, std::nullopt};
     }
--- a/tests/decision/fleet_capacity_estimate_test.cpp
+++ b/tests/decision/fleet_capacity_estimate_test.cpp
@@ -8,7 +8,8 @@
 namespace ivyreel::test {
 namespace {
 
-// Submits sixty such requests within a third of a second. Returns how many of them are sent to an endpoint.
+// Submits sixty requests like `client` within a third of a second. Returns the number of those for which an
+// attempt is started.
 int acceptedOfSixty(DecisionEngineDriver& d, RequestArrived client = {}) {
     int accepted = 0;
     client.clientTimeout = 3200ms;
--- a/tests/decision/migration_test.cpp
+++ b/tests/decision/migration_test.cpp
@@ -116,7 +116,7 @@
     ASSERT_GT(drainFirst(d, 3), 10);
     d.advance(30s);
     EXPECT_EQ(d.count<MigrateConnection>(), 0)
-        << "A draining endpoint serves its connections until it stops, though it rejects health checks.";
+        << "A draining endpoint serves its connections until it stops, even if its health checks fail.";
 }
 
 TEST(Migration, LeavesUnresponsiveEndpointButNotOneThatAnswersHealthChecksWithErrors) {
