--- a/src/decision/endpoint.hpp
+++ b/src/decision/endpoint.hpp
@@ -84,7 +84,8 @@
     return sum;
 }
 
-// The part of this node's load that the endpoint's last report includes.
+// The load of this node's connections and attempts without the recent sends, which the last report does not
+// include.
 inline double reportedLoadFromThisNode(const Endpoint& endpoint) {
     return endpoint.loadFromThisNode - recentLoad(endpoint);
 }
--- a/src/decision/fleet_snapshot.hpp
+++ b/src/decision/fleet_snapshot.hpp
@@ -23,7 +23,8 @@
     double totalSpareUtilisation = 0.0;
     double loadFromOtherNodes = 0.0;  // per endpoint, of clients that came from other nodes since its report
     double sendRate = 0.0;            // load that this node sends per second
-    int recentSendCount = 0;          // this node's sends in the last 2 s that no report includes
+    // This node's sends in the last 2 s that no report includes, without clients that came from other nodes.
+    int recentSendCount = 0;
     double capacityPerLoad = 1.0 / kDefaultCapacity;  // share of a typical capacity per unit of load
 };
 
--- a/src/decision/health_check_schedule.hpp
+++ b/src/decision/health_check_schedule.hpp
@@ -37,8 +37,7 @@
 // Departure, confirmation: after a failed attempt, a failed health check or, in a small fleet, a late answer
 // to a health check, the endpoint is checked again after the health check interval of
 // draft-rosenberg-dispatch-cloudsip, unless one more check has failed than makes the endpoint unhealthy.
-// This prevents connections from waiting on a broken link or on a
-// dead or slow endpoint.
+// This prevents connections from waiting on a broken link or on a dead or slow endpoint.
 void scheduleConfirmation(Endpoint& endpoint, Time now);
 
 // Departure, immediate check: an endpoint whose messages miss their latency objective is checked at once,
--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -40,9 +40,9 @@
 }
 
 // Departure, slow endpoints: an endpoint whose reported load is far above the load that its connections cause
-// at a typical endpoint has a slowdown, by which effectiveCapacity() divides: for the weight of the endpoint
-// and for the utilisation that sent load adds. This prevents alternately overloading and relieving the
-// endpoint.
+// at a typical endpoint has a slowdown, by which effectiveCapacity() divides if isSlow(): for the weight of
+// the endpoint and for the utilisation that sent load adds. This prevents alternately overloading and
+// relieving the endpoint.
 //
 // Updates the slowdown of the endpoint. Call this function when a load report of the endpoint has been
 // applied. `capacityPerLoad` is the share of a typical endpoint's capacity that one unit of load takes;
--- a/src/decision/settings.hpp
+++ b/src/decision/settings.hpp
@@ -89,7 +89,9 @@
     std::vector<TenantSettings> tenants;
     double overQuotaPriorityWeight = 1.0;  // of requests whose tenant exceeds its quota
     double crossZoneCost = 0.02;  // cost of a connection to another zone, as a share of a connection's value
-    double availabilityWeight = 0.0;  // weight of the nines of availability in the objective
+    // Weight of the number of nines of the availability among the operators' goals, 0 to 1. A higher weight
+    // lowers the saturation threshold.
+    double availabilityWeight = 0.0;
     RequestLimits limits;
     OperatingLimits operatingLimits;
     DiscoveryMode discoveryMode = DiscoveryMode::Push;
