--- a/src/decision/health_check_schedule.cpp
+++ b/src/decision/health_check_schedule.cpp
@@ -13,7 +13,7 @@
 // A load report changes at most once a second (draft-rosenberg-dispatch-cloudsip, 9.2.1).
 constexpr Micros kMinInterval = 1s;
 constexpr Micros kMaxInterval = 4500ms;    // even a late answer arrives before the last report is 5 s old
-constexpr double kChecksPerRequest = 4.0;  // maximum of periodic checks of all endpoints per request
+constexpr double kChecksPerRequest = 4.0;  // periodic checks of all endpoints over requests, maximum
 constexpr Micros kConfirmationInterval = 250ms;  // the draft's health check interval (9.1.1)
 constexpr double kLateMultiple = 1.5;        // of the mean round trip; the network alone causes such delays
 constexpr double kLateMarginMicros = 2'000;  // added to the limit; smaller differences are random
@@ -38,8 +38,8 @@
 std::optional<Micros> periodicHealthCheckInterval(std::size_t endpoints, double arrivalsPerSecond,
                                                   std::uint32_t nodes) {
     const double checksPerSecond = kChecksPerRequest * arrivalsPerSecond;
-    const double interval = static_cast<double>(endpoints) / checksPerSecond;
-    if (interval <= seconds(kMaxInterval)) return std::max(kMinInterval, scaled(1s, interval));
+    const double intervalSeconds = static_cast<double>(endpoints) / checksPerSecond;
+    if (intervalSeconds <= seconds(kMaxInterval)) return std::max(kMinInterval, scaled(1s, intervalSeconds));
     return isSmallFleet(nodes) ? std::optional(kMaxInterval) : std::nullopt;
 }
 
@@ -51,13 +51,13 @@
         periodicInterval || endpoint.connectionsFromThisNode > 0 || endpoint.healthCheckFailures > 0;
     if (!isPeriodic) return false;
     const Time dueAt =
-        check.startedAt + scaled(periodicInterval.value_or(kMaxInterval), check.intervalFactor);
-    return check.intervalFactor == 0.0 || now >= dueAt;
+        check.startedAt + scaled(periodicInterval.value_or(kMaxInterval), check.nextIntervalFactor);
+    return check.nextIntervalFactor == 0.0 || now >= dueAt;
 }
 
 void recordHealthCheckStart(Endpoint& endpoint, Time now, SplitMix64& random) {
     HealthCheckState& check = endpoint.healthCheck;
-    check.intervalFactor = check.intervalFactor == 0.0 ? 0.5 + random.next() : 1.0;
+    check.nextIntervalFactor = check.nextIntervalFactor == 0.0 ? 0.5 + random.next() : 1.0;
     check.extraCheckAt = Time::max();
     check.startedAt = now;
     check.outstanding = true;
--- a/tests/decision/fleet_capacity_estimate_test.cpp
+++ b/tests/decision/fleet_capacity_estimate_test.cpp
@@ -8,7 +8,8 @@
 namespace ivyreel::test {
 namespace {
 
-// Submits sixty such requests within a third of a second. Returns how many of them are sent to an endpoint.
+// Submits sixty requests like `client` within a third of a second. Returns the number of those for which an
+// attempt is started.
 int acceptedOfSixty(DecisionEngineDriver& d, RequestArrived client = {}) {
     int accepted = 0;
     client.clientTimeout = 3200ms;
@@ -23,7 +24,7 @@
 
 // A node that has just restarted gets all clients at once when the other node restarts, before it has learned
 // the capacity of the endpoints. It must accept them, based on the default capacity.
-TEST(FleetCapacityEstimate, NewNodeUsesTheCapacityOfTheFleet) {
+TEST(FleetCapacityEstimate, NewNodeAcceptsAllClientsByTheDefaultCapacity) {
     Settings settings = defaultSettings();
     settings.nodes = 2;
     DecisionEngineDriver fresh = makeFleet(settings, 4, 0.4);
