--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -113,21 +113,22 @@
     return text;
 }
 
-std::string Metrics::exposition(const Gauges& gauges) const {
+std::string Metrics::exposition(const ExternalMetrics& external) const {
     std::string text;
     for (const auto& [name, metrics] : classes) {
         appendClassMetrics(text, name, metrics);
     }
     appendMetric(text, "conf_loaded", confLoaded, MetricType::Counter);
     appendMetric(text, "conf_invalid", confInvalid, MetricType::Counter);
-    appendMetric(text, "current", gauges.currentConnections, MetricType::Gauge);
-    appendMetric(text, "cluster_size", gauges.listedEndpoints, MetricType::Gauge);
-    appendMetric(text, "cluster_unhealthy", gauges.excludedEndpoints, MetricType::Gauge);
+    appendMetric(text, "current", external.currentConnections, MetricType::Gauge);
+    appendMetric(text, "cluster_size", external.listedEndpoints, MetricType::Gauge);
+    appendMetric(text, "cluster_unhealthy", external.excludedEndpoints, MetricType::Gauge);
     appendMetric(text, "list_calls", listCalls, MetricType::Counter);
     appendMetric(text, "list_calls_rejected", listCallsRejected, MetricType::Counter);
     appendMetric(text, "list_calls_cancelled", listCallsCancelled, MetricType::Counter);
-    appendMetric(text, "list_age_ms", static_cast<std::uint64_t>(gauges.listAgeMs), MetricType::Gauge);
-    appendMetric(text, "list_stale_ms", static_cast<std::uint64_t>(gauges.listStaleMs), MetricType::Counter);
+    appendMetric(text, "list_age_ms", static_cast<std::uint64_t>(external.listAgeMs), MetricType::Gauge);
+    appendMetric(text, "list_stale_ms", static_cast<std::uint64_t>(external.listStaleMs),
+                 MetricType::Counter);
     return text;
 }
 
--- a/src/admin/metrics.hpp
+++ b/src/admin/metrics.hpp
@@ -93,7 +93,7 @@
     std::uint64_t withheldCleared = 0;  // no longer withheld
 
     // Current values, which other components of the node provide.
-    struct Gauges {
+    struct ExternalMetrics {
         std::size_t currentConnections = 0;
         std::size_t listedEndpoints = 0;
         std::size_t excludedEndpoints = 0;
@@ -107,7 +107,7 @@
     std::string logText() const;
     // The metrics of the admin API, one per line: "node.NAME:VALUE|c" for counters, "node.NAME:VALUE|g" for
     // gauges.
-    std::string exposition(const Gauges& gauges) const;
+    std::string exposition(const ExternalMetrics& external) const;
 };
 
 }  // namespace ivyreel
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -115,7 +115,7 @@
     ready_ = true;
     inheritedState_.reset();
     proxyServer_.setAccepting(true);
-    proxyServer_.startServing();
+    proxyServer_.startAnsweringHealthChecks();
     if (adminServer_) adminServer_->setAccepting(true);
     // This precedes the log line because an operator who waits for that line may start a successor
     // immediately.
--- a/src/proxy/active_connections.hpp
+++ b/src/proxy/active_connections.hpp
@@ -28,8 +28,8 @@
 
 // What a graceful shutdown has to migrate, hand over or fail.
 struct ActiveConnections {
-    std::set<TrackedRequest*> pending;      // new requests that have no final answer yet
-    std::set<ConnectionPair*> established;  // connections that are being relayed or resumed
+    std::set<TrackedRequest*> pending;            // new requests that have no final answer yet
+    std::set<ConnectionPair*> relayedOrResuming;  // connections that are being relayed or resumed
 };
 
 }  // namespace ivyreel
--- a/src/proxy/connection_attempt.cpp
+++ b/src/proxy/connection_attempt.cpp
@@ -31,12 +31,12 @@
 
 std::optional<AttemptResult> ConnectionAttempt::start() {
     address_ = connector_.addressOf(target_.endpoint);
-    if (!address_) return ended(Outcome::ConnectFailed);
+    if (!address_) return closeAsFailed(Outcome::ConnectFailed);
     try {
         connections_.upstream = Connection{Socket::connectTo(connections_.signal, *address_)};
     } catch (const std::system_error& error) {
         spdlog::warn("cannot connect to endpoint at {}: {}", address_->text(), error.what());
-        return ended(Outcome::ConnectFailed);
+        return closeAsFailed(Outcome::ConnectFailed);
     }
     return std::nullopt;
 }
@@ -46,9 +46,10 @@
 std::optional<AttemptResult> ConnectionAttempt::poll() {
     polledAt_ = now();
     if (trackedRequest_.hasPendingDecision() || (target_.resumed && connections_.migrationRequested))
-        return withoutOutcome(AttemptResult::Kind::Cancelled);
+        return closeWithoutOutcome(AttemptResult::Kind::Cancelled);
     connections_.client.receive();
-    if (connections_.clientAbandoned()) return withoutOutcome(AttemptResult::Kind::ClientAbandoned);
+    if (connections_.clientEndedRequest())
+        return closeWithoutOutcome(AttemptResult::Kind::ClientEndedRequest);
     if (!connected_) {
         if (const auto result = checkConnect()) return result;
     }
@@ -56,12 +57,12 @@
         if (const auto result = exchange()) return result;
     }
     if (polledAt_ < deadline()) return std::nullopt;
-    return ended(openingSent() ? Outcome::Timeout : Outcome::ConnectFailed);
+    return closeAsFailed(openingSent() ? Outcome::Timeout : Outcome::ConnectFailed);
 }
 
 std::optional<AttemptResult> ConnectionAttempt::checkConnect() {
     const Socket::ConnectState state = connections_.upstream.socket.connectState();
-    if (state == Socket::ConnectState::Failed) return ended(Outcome::ConnectFailed);
+    if (state == Socket::ConnectState::Failed) return closeAsFailed(Outcome::ConnectFailed);
     connected_ = state == Socket::ConnectState::Done;
     if (!connected_) return std::nullopt;
     return prepareOpening();
@@ -71,12 +72,13 @@
 // either may have changed while the connection was being established.
 std::optional<AttemptResult> ConnectionAttempt::prepareOpening() {
     connections_.upstream.receive();
-    if (connections_.upstream.inputEnded()) return ended(Outcome::ConnectFailed);  // before the opening line
+    // The endpoint ended the connection before the opening line.
+    if (connections_.upstream.inputEnded()) return closeAsFailed(Outcome::ConnectFailed);
     const bool isAttemptStillValid =
         target_.resumed || tracker_.isAttemptStillValid(trackedRequest_, target_.endpoint);
     if (!isAttemptStillValid || connector_.addressOf(target_.endpoint) != address_) {
         ++metrics_.notSent;
-        return ended(Outcome::NotSent);
+        return closeAsFailed(Outcome::NotSent);
     }
     openingText_ = opening_.withTimeout(answerDeadline_ - polledAt_);
     ++metrics_.attempts;
@@ -87,9 +89,9 @@
     Connection& upstream = connections_.upstream;
     sendOpening();
     upstream.receive();
-    if (const auto line = firstLine(upstream.input.view())) return resultOf(*line);
-    if (exceedsMaxLineLength(upstream.input.view())) return ended(Outcome::Error);
-    if (upstream.inputEnded()) return ended(openingSent() ? Outcome::Reset : Outcome::ConnectFailed);
+    if (const auto line = firstLine(upstream.input.view())) return handleAnswer(*line);
+    if (exceedsMaxLineLength(upstream.input.view())) return closeAsFailed(Outcome::Error);
+    if (upstream.inputEnded()) return closeAsFailed(openingSent() ? Outcome::Reset : Outcome::ConnectFailed);
     return std::nullopt;
 }
 
@@ -104,22 +106,22 @@
                   target_.resumed ? ", resumed" : "");
 }
 
-AttemptResult ConnectionAttempt::resultOf(const Line& answer) {
+AttemptResult ConnectionAttempt::handleAnswer(const Line& answer) {
     const auto [word, rest] = firstWord(answer.text);
     if (word == keyword::kUp && openingSent())
         return {AttemptResult::Kind::Up, Outcome::Ok, polledAt_ - start_, std::nullopt};
     const auto load = parseLoadReport(rest);
-    return ended(word == keyword::kBusy ? Outcome::Rejected : Outcome::Error, load);
+    return closeAsFailed(word == keyword::kBusy ? Outcome::Rejected : Outcome::Error, load);
 }
 
-AttemptResult ConnectionAttempt::withoutOutcome(AttemptResult::Kind kind) {
+AttemptResult ConnectionAttempt::closeWithoutOutcome(AttemptResult::Kind kind) {
     connections_.upstream = Connection{};
     return {kind, {}, Micros{0}, std::nullopt};
 }
 
-AttemptResult ConnectionAttempt::ended(Outcome outcome, std::optional<LoadReport> load) {
+AttemptResult ConnectionAttempt::closeAsFailed(Outcome outcome, std::optional<LoadReport> load) {
     connections_.upstream = Connection{};
-    return {AttemptResult::Kind::Ended, outcome, now() - start_, load};
+    return {AttemptResult::Kind::Failed, outcome, now() - start_, load};
 }
 
 }  // namespace ivyreel
--- a/src/proxy/connection_attempt.hpp
+++ b/src/proxy/connection_attempt.hpp
@@ -28,13 +28,13 @@
 // The result of an attempt.
 struct AttemptResult {
     enum class Kind {
-        Up,               // the endpoint accepted the request: UP is the first line in the upstream buffer
-        Ended,            // the attempt failed: see `outcome`
-        Cancelled,        // a newer decision is available, or the client is to be migrated
-        ClientAbandoned,  // the client disconnected, or sent data before its answer
+        Up,                  // the endpoint accepted the request: UP is the first line in the upstream buffer
+        Failed,              // the attempt failed: see `outcome`
+        Cancelled,           // a newer decision is available, or the client is to be migrated
+        ClientEndedRequest,  // the client disconnected, or sent data before its answer
     };
-    Kind kind = Kind::Ended;
-    Outcome outcome = Outcome::ConnectFailed;  // for Kind::Ended only
+    Kind kind = Kind::Failed;
+    Outcome outcome = Outcome::ConnectFailed;  // for Kind::Failed only
     Micros elapsed{0};
     std::optional<LoadReport> load;
 };
@@ -61,9 +61,9 @@
     std::optional<AttemptResult> prepareOpening();
     std::optional<AttemptResult> exchange();
     void sendOpening();
-    AttemptResult resultOf(const Line& answer);
-    AttemptResult withoutOutcome(AttemptResult::Kind kind);
-    AttemptResult ended(Outcome outcome, std::optional<LoadReport> load = std::nullopt);
+    AttemptResult handleAnswer(const Line& answer);
+    AttemptResult closeWithoutOutcome(AttemptResult::Kind kind);
+    AttemptResult closeAsFailed(Outcome outcome, std::optional<LoadReport> load = std::nullopt);
     bool openingSent() const { return sentBytes_ > 0 && sentBytes_ == openingText_.size(); }
     Time now() const { return connections_.signal.scheduler().now(); }
 
--- a/src/proxy/connection_pair.hpp
+++ b/src/proxy/connection_pair.hpp
@@ -24,7 +24,7 @@
     void onDecision() override { signal.raise(); }
 
     // Whether the client no longer waits for an answer: it has disconnected, or has sent more data.
-    bool clientAbandoned() const { return client.inputEnded() || !client.input.empty(); }
+    bool clientEndedRequest() const { return client.inputEnded() || !client.input.empty(); }
 
     Signal signal;
     Connection client;
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -15,9 +15,9 @@
 
 // How long after SIGTERM the load balancer in front of the node may still send connections.
 constexpr Micros kLoadBalancerReactionTime = 450ms;
-// The earliest SIGKILL follows SIGTERM by the longest client timeout, capped at kMaxClientTimeoutBeforeKill,
-// plus kExtraTimeBeforeKill.
-constexpr Micros kMaxClientTimeoutBeforeKill = 3s;
+// The earliest SIGKILL follows SIGTERM by the longest request timeout of a class, but at most
+// kMaxRequestTimeoutBeforeKill, plus kExtraTimeBeforeKill.
+constexpr Micros kMaxRequestTimeoutBeforeKill = 3s;
 constexpr Micros kExtraTimeBeforeKill = 700ms;
 constexpr Micros kMarginBeforeKill = 500ms;  // between the last migration and SIGKILL
 constexpr Micros kStepInterval = 50ms;       // between two steps of the migration
@@ -28,7 +28,7 @@
     Signal timer{scheduler_};
     const Time start = scheduler_.now();
     const Micros timeBeforeKill =
-        std::min(tracker_.longestRequestTimeout(), kMaxClientTimeoutBeforeKill) + kExtraTimeBeforeKill;
+        std::min(tracker_.longestRequestTimeout(), kMaxRequestTimeoutBeforeKill) + kExtraTimeBeforeKill;
     const Time deadline =
         start + std::max(timeBeforeKill - kMarginBeforeKill, kLoadBalancerReactionTime + kStepInterval);
     const Time migrationStart = start + std::max(kLoadBalancerReactionTime, (deadline - start) / 2);
@@ -44,7 +44,7 @@
 }
 
 void GracefulShutdown::handOver(Successor& successor) {
-    for (ConnectionPair* connections : active_.established) {
+    for (ConnectionPair* connections : active_.relayedOrResuming) {
         if (!successor.isServing()) return;
         connections->successor = &successor;
         connections->signal.raise();
@@ -55,7 +55,8 @@
 // the deadline.
 void GracefulShutdown::migrateShare(Micros timeLeft) const {
     std::vector<ConnectionPair*> remaining;
-    std::copy_if(active_.established.begin(), active_.established.end(), std::back_inserter(remaining),
+    std::copy_if(active_.relayedOrResuming.begin(), active_.relayedOrResuming.end(),
+                 std::back_inserter(remaining),
                  [](const ConnectionPair* connections) { return !connections->migrationRequested; });
     const auto steps = static_cast<std::size_t>(std::max<Micros::rep>(1, timeLeft / kStepInterval));
     remaining.resize((remaining.size() + steps - 1) / steps);
--- a/src/proxy/opening_reader.cpp
+++ b/src/proxy/opening_reader.cpp
@@ -15,7 +15,7 @@
 using namespace std::chrono_literals;
 
 constexpr Micros kOpeningTimeout = 2s;
-constexpr Micros kServingPollInterval = 20ms;
+constexpr Micros kAnsweringPollInterval = 20ms;
 constexpr int kMaxLinesBeforeYield = 16;  // health checks answered before yielding to the other coroutines
 constexpr double kMaxClientTimeoutMs = 24 * 3600 * 1e3;  // one day
 
@@ -54,16 +54,17 @@
     return Rejected{*error, &metrics_.classes[std::string(requestClass)]};
 }
 
-Task<void> OpeningReader::waitUntilServing(ConnectionPair& connections, Time deadline) {
+Task<void> OpeningReader::waitUntilAnsweringHealthChecks(ConnectionPair& connections, Time deadline) {
     Connection& client = connections.client;
-    while (!serving_ && !client.inputEnded() && !connections.evicted && scheduler_.now() < deadline) {
-        co_await connections.signal.wait(scheduler_.now() + kServingPollInterval);
+    while (!answersHealthChecks_ && !client.inputEnded() && !connections.evicted &&
+           scheduler_.now() < deadline) {
+        co_await connections.signal.wait(scheduler_.now() + kAnsweringPollInterval);
         client.receive();
     }
 }
 
 // Whether the wait for an opening line has ended without one. Counts the cause.
-bool OpeningReader::hasEnded(const ConnectionPair& connections, Time deadline) {
+bool OpeningReader::checkEnd(const ConnectionPair& connections, Time deadline) {
     const Connection& client = connections.client;
     if (client.inputEnded()) {
         if (!client.input.empty()) ++metrics_.incompleteOpenings;
@@ -94,8 +95,8 @@
                 co_await connections.signal.wait();
             }
             client.input.consume(line->bytes);
-            if (!serving_) co_await waitUntilServing(connections, deadline);
-            if (!serving_) break;
+            if (!answersHealthChecks_) co_await waitUntilAnsweringHealthChecks(connections, deadline);
+            if (!answersHealthChecks_) break;
             std::size_t sent = 0;
             client.send(fixed_line::kPong, sent);
             ++metrics_.pings;
@@ -104,7 +105,7 @@
             co_await responses_.rejectInput(connections, InputError::OverlongLine, nullptr);
             co_return std::nullopt;
         }
-        if (hasEnded(connections, deadline)) co_return std::nullopt;
+        if (checkEnd(connections, deadline)) co_return std::nullopt;
         co_await connections.signal.wait(deadline);
     }
 }
--- a/src/proxy/opening_reader.hpp
+++ b/src/proxy/opening_reader.hpp
@@ -28,7 +28,7 @@
 
     // Enables or disables the answers to health checks. While they are disabled, health checks wait for up to
     // the opening timeout.
-    void setServing(bool serving) { serving_ = serving; }
+    void setAnsweringHealthChecks(bool answering) { answersHealthChecks_ = answering; }
 
     // Returns the opening line of a valid request. None if there will be no request: the input was rejected
     // and the connection closed, or the connection ended, timed out or was evicted.
@@ -43,15 +43,15 @@
 
     Validated takeOpening(Connection& client, const Line& line);
     std::optional<InputError> validate(const OpeningLine& opening);
-    Task<void> waitUntilServing(ConnectionPair& connections, Time deadline);
-    bool hasEnded(const ConnectionPair& connections, Time deadline);
+    Task<void> waitUntilAnsweringHealthChecks(ConnectionPair& connections, Time deadline);
+    bool checkEnd(const ConnectionPair& connections, Time deadline);
 
     const Scheduler& scheduler_;
     const RequestTracker& tracker_;
     RecentRequestIds& recentRequestIds_;
     Metrics& metrics_;
     ClientResponses responses_;
-    bool serving_ = false;
+    bool answersHealthChecks_ = false;
 };
 
 }  // namespace ivyreel
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -78,7 +78,7 @@
 
 Task<void> ProxyServer::drain(Successor& successor, std::function<void()> drained) {
     shuttingDown_ = true;
-    openingReader_.setServing(false);
+    openingReader_.setAnsweringHealthChecks(false);
     return shutdown_.run(successor, std::move(drained));
 }
 
--- a/src/proxy/proxy_server.hpp
+++ b/src/proxy/proxy_server.hpp
@@ -43,7 +43,7 @@
     // Starts or stops accepting. While the server does not accept, new connections wait in the listen queue.
     void setAccepting(bool accepting) { acceptor_.setAccepting(accepting); }
     // Enables the answers to health checks, unless the node is shutting down.
-    void startServing() { openingReader_.setServing(!shuttingDown_); }
+    void startAnsweringHealthChecks() { openingReader_.setAnsweringHealthChecks(!shuttingDown_); }
     // Changes the maximum number of descriptors that the node may have open.
     void setDescriptorLimit(std::size_t limit) { descriptors_.setLimit(limit); }
 
--- a/src/proxy/request_session.cpp
+++ b/src/proxy/request_session.cpp
@@ -16,7 +16,7 @@
 
 constexpr Micros kResumeTimeout = 35s;
 constexpr Micros kResumeRetryInterval = 250ms;
-constexpr double kMaxClientTimeoutMs = 1e9;
+constexpr double kClientTimeoutClampMs = 1e9;
 constexpr double kMicrosPerMilli = 1e3;
 
 }  // namespace
@@ -29,7 +29,7 @@
     result.key = opening_.key();
     result.loadHint = opening_.number(opening_attribute::kLoadHint);
     const double timeout = opening_.number(opening_attribute::kTimeout).value_or(0.0);
-    const double timeoutMs = std::clamp(timeout, 0.0, kMaxClientTimeoutMs);
+    const double timeoutMs = std::clamp(timeout, 0.0, kClientTimeoutClampMs);
     result.clientTimeout = Micros{static_cast<Micros::rep>(timeoutMs * kMicrosPerMilli)};
     result.reconnecting = opening_.value(opening_attribute::kReconnecting) == "1";
     return result;
@@ -40,7 +40,7 @@
 Task<std::optional<Decision>> RequestSession::awaitDecision(TrackedRequest& trackedRequest) {
     for (;;) {
         connections_.client.receive();
-        if (connections_.clientAbandoned()) co_return std::nullopt;
+        if (connections_.clientEndedRequest()) co_return std::nullopt;
         if (const auto decision = context_.tracker.takeDecision(trackedRequest)) co_return decision;
         co_await connections_.signal.wait();
     }
@@ -69,12 +69,12 @@
                 ++context_.metrics.established;
                 ++classMetrics.answered;
                 co_return co_await relay(trackedRequest, relayState);
-            case AttemptResult::Kind::ClientAbandoned:
+            case AttemptResult::Kind::ClientEndedRequest:
                 co_return co_await abandon(trackedRequest, classMetrics);
             case AttemptResult::Kind::Cancelled:
                 ++context_.metrics.attemptsCancelled;
                 break;
-            case AttemptResult::Kind::Ended:
+            case AttemptResult::Kind::Failed:
                 context_.metrics.count(result.outcome);
                 context_.tracker.attemptEnded(trackedRequest, result.outcome, result.elapsed, result.load);
                 break;
@@ -84,8 +84,8 @@
 
 Task<void> RequestSession::resume(RequestClassMetrics& classMetrics) {
     TrackedRequest trackedRequest{context_.tracker, connections_, attributes()};
-    std::optional<ScopedRegistration<ConnectionPair>> established{std::in_place, context_.active.established,
-                                                                  connections_};
+    std::optional<ScopedRegistration<ConnectionPair>> established{
+        std::in_place, context_.active.relayedOrResuming, connections_};
     const EndpointId endpoint = endpointIdOf(opening_.value(opening_attribute::kCurrentEndpoint));
     const Time deadline = context_.scheduler.now() + kResumeTimeout;
     RelayState relayState;
@@ -93,7 +93,7 @@
         const AttemptTarget target{endpoint, deadline - context_.scheduler.now(), true};
         const AttemptResult result =
             co_await context_.connector.attempt(connections_, trackedRequest, opening_, target, classMetrics);
-        if (result.kind == AttemptResult::Kind::ClientAbandoned)
+        if (result.kind == AttemptResult::Kind::ClientEndedRequest)
             co_return co_await abandon(trackedRequest, classMetrics);
         if (result.kind == AttemptResult::Kind::Up) {
             established.reset();
@@ -115,14 +115,14 @@
     const Time retryAt = context_.scheduler.now() + kResumeRetryInterval;
     while (context_.scheduler.now() < retryAt && !connections_.migrationRequested) {
         connections_.client.receive();
-        if (connections_.clientAbandoned()) co_return false;
+        if (connections_.clientEndedRequest()) co_return false;
         co_await connections_.signal.wait(retryAt);
     }
     co_return true;
 }
 
 Task<void> RequestSession::relay(TrackedRequest& trackedRequest, RelayState& state) {
-    const ScopedRegistration established{context_.active.established, connections_};
+    const ScopedRegistration established{context_.active.relayedOrResuming, connections_};
     Relay relay{connections_, trackedRequest, context_.tracker, context_.metrics, state};
     const bool handedOver = co_await relay.run();
     if (!handedOver) co_return;
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -127,7 +127,7 @@
     fixture.scheduler.spawn(fixture.serveEndpoint(received, ""));
     const auto result = fixture.runAttempt();
     ASSERT_TRUE(result);
-    EXPECT_EQ(result->kind, AttemptResult::Kind::Ended);
+    EXPECT_EQ(result->kind, AttemptResult::Kind::Failed);
     EXPECT_EQ(result->outcome, Outcome::NotSent);
     EXPECT_EQ(fixture.metrics.notSent, 1U);
     EXPECT_EQ(fixture.metrics.attempts, 0U);
--- a/tests/node_relay_test.cpp
+++ b/tests/node_relay_test.cpp
@@ -44,7 +44,7 @@
     EXPECT_EQ(pair.client.line(), "(end)");
 }
 
-TEST(NodeRelay, HalfClosesTheEndpointAndRelaysWhatItStillSends) {
+TEST(NodeRelay, RelaysTheLinesOfTheEndpointAfterTheClientHasHalfClosed) {
     StubServer server;
     NodeProcess node{optionsFor(server)};
     EstablishedPair pair = establishConnection(node, server);
