--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -18,7 +18,7 @@
 using namespace std::chrono_literals;
 
 constexpr Micros kSessionTimeout = 5s;         // from the accept to the end of the response
-constexpr Micros kExhaustedRetryDelay = 50ms;  // when the process is out of descriptors
+constexpr Micros kExhaustedRetryDelay = 50ms;  // when accept() reports AcceptResult::Exhausted
 
 }  // namespace
 
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -11,12 +11,13 @@
 
 namespace ivyreel {
 
-// Serves at most kMaxSessions connections at a time. When all sessions are in use, the oldest is evicted, so
-// that clients that never complete their request cannot block others.
+// While kMaxSessions or more sessions are open, no connection is accepted and the oldest session is evicted,
+// so that clients that never complete their request cannot block others. A session counts as open from the
+// next round of the scheduler, so one round may accept more connections than that.
 class AdminServer {
   public:
     static constexpr std::size_t kMaxSessions = 16;
-    // The descriptors of the sessions and of the listener.
+    // The descriptors of kMaxSessions sessions and of the listener.
     static constexpr std::size_t kMaxDescriptors = kMaxSessions + 1;
 
     // `inheritedListener` is a descriptor that already listens at `listen`, or -1 to create one. Throws
--- a/src/admin/metrics.hpp
+++ b/src/admin/metrics.hpp
@@ -29,7 +29,7 @@
     std::uint64_t accepted = 0;
     std::uint64_t pings = 0;       // health checks from load balancers that were answered
     std::uint64_t requests = 0;    // opening lines received
-    std::uint64_t resumed = 0;     // connections established before the node started
+    std::uint64_t resumed = 0;     // reconnections to the endpoint that the opening line names
     std::uint64_t adopted = 0;     // connections received from a predecessor
     std::uint64_t handedOver = 0;  // connections sent to a successor
 
@@ -49,13 +49,13 @@
     std::uint64_t outOfDescriptors = 0;    // requests rejected for lack of descriptors
 
     // Attempts.
-    std::uint64_t attempts = 0;           // sent to endpoints
-    std::uint64_t notSent = 0;            // dropped before the first byte was sent
-    std::uint64_t connectFailed = 0;      // the connection was not established
+    std::uint64_t attempts = 0;       // about to be sent on an established connection
+    std::uint64_t notSent = 0;        // dropped before the first byte was sent
+    std::uint64_t connectFailed = 0;  // no connection, or it ended or timed out before the opening was sent
     std::uint64_t attemptsRejected = 0;   // BUSY
     std::uint64_t errors = 0;             // ERR, or a malformed response
-    std::uint64_t timedOut = 0;           // no response in time
-    std::uint64_t attemptsReset = 0;      // the connection failed
+    std::uint64_t timedOut = 0;           // no response to the opening line in time
+    std::uint64_t attemptsReset = 0;      // the connection ended after the opening line was sent
     std::uint64_t attemptsCancelled = 0;  // a newer decision arrived during the attempt
 
     // Responses to clients.
@@ -68,7 +68,7 @@
     std::uint64_t completed = 0;             // BYE
     std::uint64_t closedByClient = 0;        // the client closed the connection
     std::uint64_t movedByEndpoint = 0;       // MOVE from the endpoint
-    std::uint64_t migrated = 0;              // MOVE from this node
+    std::uint64_t migrated = 0;              // MOVE from this node, except after an overlong line (badLength)
     std::uint64_t migratedUnresponsive = 0;  // of these: the endpoint was unresponsive
     std::uint64_t resetByEndpoint = 0;       // the upstream connection ended without a notice
 
@@ -76,8 +76,8 @@
     std::uint64_t linesToEndpoints = 0;
     std::uint64_t linesToClients = 0;
 
-    std::uint64_t healthChecks = 0;  // answered
-    std::uint64_t healthChecksFailed = 0;
+    std::uint64_t healthChecks = 0;        // answered with PONG
+    std::uint64_t healthChecksFailed = 0;  // another answer, such as BUSY, or none
     std::uint64_t healthCheckConnections = 0;
 
     // Discovery of the endpoint list.
@@ -92,7 +92,7 @@
     std::uint64_t withheld = 0;
     std::uint64_t withheldCleared = 0;  // no longer withheld
 
-    // Current values, which other components of the node provide.
+    // Values that other components of the node provide: gauges, and the counter listStaleMs.
     struct ExternalMetrics {
         std::size_t currentConnections = 0;
         std::size_t listedEndpoints = 0;
--- a/src/node/config_reload.hpp
+++ b/src/node/config_reload.hpp
@@ -16,7 +16,8 @@
 // key that the current configuration has.
 ReloadedConfig reloadConfig(const Config& current);
 
-// Whether the configuration file is valid and differs from the current configuration.
+// Whether readConfig() accepts the configuration file and the file differs from the current configuration.
+// reloadConfig() still rejects such a file if it lacks a key that the current configuration has.
 bool configFileChanged(const Config& current);
 
 }  // namespace ivyreel
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -134,8 +134,9 @@
     }
 }
 
-// In push mode, a node is expected to know every change of the endpoint list from its start, so it must not
-// serve with an older list.
+// In push mode, a node is expected to know every change of the endpoint list from its start. It therefore
+// delays its start until the first call to discovery has succeeded or failed, at most by kPushedListTimeout,
+// and then serves with the list that it has.
 Task<void> Node::serveAfterPushedList() {
     co_await awaitFirstListCall(kPushedListTimeout);
     startServing();
@@ -174,7 +175,7 @@
     try {
         ReloadedConfig reloaded = reloadConfig(config_);
         if (reloaded.restartNeeded)
-            spdlog::warn("a changed name or listening address takes effect at the next start");
+            spdlog::warn("a changed value of name, listen or console takes effect at the next start");
         apply(std::move(reloaded.config));
         ++metrics_.confLoaded;
         spdlog::info("configuration reloaded: discovery at {}, limit of {} descriptors",
@@ -261,7 +262,8 @@
     tracker_.applyOperatorBan(endpoint, banned);
 }
 
-// An invalid file is not reported here: the process that received the signal logs the error.
+// A file that readConfig() rejects is ignored here: the process that received the signal logs the error. A
+// file that lacks a key of the current configuration is rejected and reported by reload() in both processes.
 void Node::onReload() {
     if (configFileChanged(config_)) reload();
 }
@@ -293,7 +295,7 @@
            " list_stale_ms=" + std::to_string(inMillis(list.timeWithoutWatch));
 }
 
-// A second SIGINT stops the node immediately.
+// A SIGINT during a shutdown stops the node immediately, whichever signal started the shutdown.
 void Node::requestShutdown(bool interrupted) {
     if (std::exchange(shuttingDown_, true)) {
         if (interrupted) scheduler_.stop();
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -36,7 +36,7 @@
     Node& operator=(Node&&) = delete;
     ~Node() override { scheduler_.destroyTasks(); }  // the tasks refer to the other members
 
-    // Runs until a shutdown that SIGINT requested has completed.
+    // Runs until a drain that SIGINT started has completed, or until a SIGINT arrives during a shutdown.
     void run();
 
     // TrackerEnvironment
--- a/src/proxy/connection_acceptor.cpp
+++ b/src/proxy/connection_acceptor.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 constexpr int kMaxAcceptsPerBatch = 8;
-constexpr Micros kExhaustedRetryDelay = 50ms;  // when the process is out of descriptors
+constexpr Micros kExhaustedRetryDelay = 50ms;  // when accept() reports AcceptResult::Exhausted
 
 }  // namespace
 
@@ -65,8 +65,9 @@
 
 void ConnectionAcceptor::reportExhaustion() {
     if (std::exchange(exhaustionReported_, true)) return;
-    spdlog::error("cannot accept connections: out of descriptors ({} watched, limit {})",
-                  scheduler_.watchedDescriptorCount(), descriptors_.limit());
+    spdlog::error(
+        "cannot accept connections: out of descriptors or memory ({} descriptors watched, limit {})",
+        scheduler_.watchedDescriptorCount(), descriptors_.limit());
 }
 
 void ConnectionAcceptor::handle(int descriptor) {
--- a/src/proxy/connection_acceptor.hpp
+++ b/src/proxy/connection_acceptor.hpp
@@ -12,7 +12,7 @@
 namespace ivyreel {
 
 // Accepts connections in batches. Evicts the oldest unopened connection when their number reaches its limit,
-// and pauses when the process has run out of descriptors.
+// and pauses when the process or the system has run out of descriptors or memory.
 class ConnectionAcceptor {
   public:
     // Serves a new connection and takes ownership of its descriptor. May throw std::system_error.
--- a/src/proxy/connection_attempt.hpp
+++ b/src/proxy/connection_attempt.hpp
@@ -30,7 +30,7 @@
     enum class Kind {
         Up,                  // the endpoint accepted the request: UP is the first line in the upstream buffer
         Failed,              // the attempt failed: see `outcome`
-        Cancelled,           // a newer decision is available, or the client is to be migrated
+        Cancelled,           // a newer decision, or a `resumed` attempt whose client is to be migrated
         ClientEndedRequest,  // the client disconnected, or sent data before its answer
     };
     Kind kind = Kind::Failed;
--- a/src/proxy/connection_pair.hpp
+++ b/src/proxy/connection_pair.hpp
@@ -11,8 +11,8 @@
 
 namespace ivyreel {
 
-// How long the node waits for the peer to close a connection that the node has ended. The protocol gives the
-// peer 1 s.
+// How long the node waits, after it has sent a final line or the client has ended its side, until it closes
+// the connections that are still open. The protocol gives the peer 1 s.
 inline constexpr Micros kCloseTimeout = std::chrono::milliseconds(800);
 
 // The two connections of a client, and the signal that the events of both raise. The coroutine that serves
@@ -23,7 +23,7 @@
         : signal(scheduler), client(Socket{signal, clientDescriptor}) {}
     void onDecision() override { signal.raise(); }
 
-    // Whether the client no longer waits for an answer: it has disconnected, or has sent more data.
+    // Whether the client has ended its request before the answer: it has disconnected, or has sent more data.
     bool clientEndedRequest() const { return client.inputEnded() || !client.input.empty(); }
 
     Signal signal;
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -8,8 +8,8 @@
 
 constexpr std::size_t kUnopenedShareDivisor = 6;   // unopened connections get one descriptor in six
 constexpr std::size_t kDescriptorsPerRequest = 2;  // downstream and upstream
-// For new health checks, the connections of one accept batch, and descriptors that the scheduler does not
-// watch.
+// For discovery, new health checks, the connections of one accept batch, and descriptors that the scheduler
+// does not watch.
 constexpr std::size_t kReservedDescriptors = 16;
 
 }  // namespace
--- a/src/proxy/descriptor_budget.hpp
+++ b/src/proxy/descriptor_budget.hpp
@@ -11,8 +11,7 @@
 namespace ivyreel {
 
 // Decides whether enough descriptors are free for one more request. Unopened connections have a fixed share,
-// and some descriptors are reserved for discovery, new health checks and descriptors that the scheduler does
-// not watch.
+// and kReservedDescriptors are reserved for other uses.
 class DescriptorBudget {
   public:
     DescriptorBudget(const Scheduler& scheduler, HealthChecker& healthChecker,
--- a/src/proxy/graceful_shutdown.hpp
+++ b/src/proxy/graceful_shutdown.hpp
@@ -11,9 +11,10 @@
 
 namespace ivyreel {
 
-// While a successor serves, the node hands over each connection as soon as it is established. Otherwise the
-// node goes on relaying its connections at first and then migrates them in even steps, so that the load on
-// the other nodes rises slowly and a node that was restarted before this one serves again by then.
+// While a successor serves, the node hands over each connection as soon as it is established. The node goes
+// on relaying the remaining connections at first and then, with or without a successor, migrates them in
+// equal shares at regular intervals. The load on the other nodes therefore rises slowly, and a node that was
+// restarted just before this one serves again when the migration starts.
 class GracefulShutdown {
   public:
     GracefulShutdown(Scheduler& scheduler, RequestTracker& tracker, ActiveConnections& active,
--- a/src/proxy/opening_reader.cpp
+++ b/src/proxy/opening_reader.cpp
@@ -63,7 +63,8 @@
     }
 }
 
-// Whether the wait for an opening line has ended without one. Counts the cause.
+// Whether the wait for an opening line has ended without one. Counts an incomplete opening line or a timeout;
+// UnopenedConnections::makeRoom() has counted an eviction. A client that closes without input is not counted.
 bool OpeningReader::checkEnd(const ConnectionPair& connections, Time deadline) {
     const Connection& client = connections.client;
     if (client.inputEnded()) {
--- a/src/proxy/recent_request_ids.hpp
+++ b/src/proxy/recent_request_ids.hpp
@@ -11,16 +11,20 @@
 
 namespace ivyreel {
 
-// Counts the open requests, and keeps the id of each request for a while after the request has ended. Every
-// connection has a new id, so an opening line with a known id is a copy.
+// Counts the open requests, and keeps the id of each request for a while after the request has ended. A
+// request is open from its opening line to the end of its connection. Every connection has a new id, so an
+// opening line with a known id is a copy.
 class RecentRequestIds {
   public:
     void open(std::uint64_t id);
     void close(std::uint64_t id, Time now);
-    // Adds the ids of another node's requests as ended at `now`. Ids that are known already stay unchanged.
+    // Adds the ids of another node's requests as ended at `now`, including those of requests that are open at
+    // the other node. Ids that are known already stay unchanged. If open() is called later for an id that was
+    // added here, the id still expires like that of an ended request, even while its request is open.
     void addEnded(const std::vector<std::uint64_t>& ids, Time now);
 
-    // Whether a request with this id is open or has ended recently. Removes expired ids.
+    // Whether a request with this id is open or has ended recently; addEnded() describes an exception.
+    // Removes expired ids.
     bool isKnown(std::uint64_t id, Time now);
     // All known ids, in unspecified order.
     std::vector<std::uint64_t> all() const { return {ids_.begin(), ids_.end()}; }
@@ -36,8 +40,8 @@
     void removeExpired(Time now);
 
     std::size_t openCount_ = 0;
-    std::unordered_set<std::uint64_t> ids_;  // of the open requests and of those in ended_
-    std::deque<EndedRequest> ended_;         // requests that have ended recently, oldest first
+    std::unordered_set<std::uint64_t> ids_;  // known: of open requests, and of those in ended_
+    std::deque<EndedRequest> ended_;         // requests that ended or were added recently, oldest first
 };
 
 // Marks a request as open from the construction to the destruction of this object.
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -16,7 +16,8 @@
 
 using namespace std::chrono_literals;
 
-// Clients send a line every 2 s, so the client of an unresponsive endpoint waits for less than 7 s in total.
+// The time from the first client line without an answer to the migration of the client. Clients send a line
+// every 2 s, so MOVE follows less than 7 s in total after the endpoint has become unresponsive.
 constexpr Micros kUnresponsiveTimeout = 4s;
 constexpr int kMaxStepsBeforeYield = 8;  // before this coroutine yields to the others
 
--- a/src/proxy/request_session.cpp
+++ b/src/proxy/request_session.cpp
@@ -16,7 +16,7 @@
 
 constexpr Micros kResumeTimeout = 35s;
 constexpr Micros kResumeRetryInterval = 250ms;
-constexpr double kClientTimeoutClampMs = 1e9;
+constexpr double kClientTimeoutClampMs = 1e9;  // the timeout of a resumed connection is not validated
 constexpr double kMicrosPerMilli = 1e3;
 
 }  // namespace
--- a/src/proxy/request_session.hpp
+++ b/src/proxy/request_session.hpp
@@ -34,8 +34,8 @@
     // Serves a new request: makes the attempts that the decision module decides until an endpoint accepts the
     // request, which is then relayed, or until the request is rejected or fails.
     Task<void> serveNewRequest(RequestClassMetrics& classMetrics);
-    // Resumes a connection that was established at an endpoint before this node started: reconnects to that
-    // endpoint, then relays the connection.
+    // Reconnects the client to the endpoint that its opening line names as its current one (attribute `at`),
+    // then relays the connection.
     Task<void> resume(RequestClassMetrics& classMetrics);
     // Relays an established connection until the connection ends or is handed over to a successor.
     Task<void> relay(TrackedRequest& trackedRequest, RelayState& state);
--- a/tests/node_start_test.cpp
+++ b/tests/node_start_test.cpp
@@ -28,7 +28,8 @@
     EXPECT_EQ(node.counter("list_changes"), 0);
 }
 
-// In push mode, a new process must not serve with an older list than discovery has.
+// Guards against a start in push mode that does not wait for the list of discovery: the node would serve with
+// its older list, and connect to an endpoint that is leaving.
 TEST(NodeStart, InPushModeServesOnceItHasTheEndpointList) {
     StubServer draining;
     StubServer active;
