--- a/src/admin/metrics.hpp
+++ b/src/admin/metrics.hpp
@@ -49,9 +49,9 @@
     std::uint64_t outOfDescriptors = 0;    // requests rejected for lack of descriptors
 
     // Attempts.
-    std::uint64_t attempts = 0;       // about to be sent on an established connection
-    std::uint64_t notSent = 0;        // dropped before the first byte was sent
-    std::uint64_t connectFailed = 0;  // no connection, or it ended or timed out before the opening was sent
+    std::uint64_t attempts = 0;           // about to be sent on an established connection
+    std::uint64_t notSent = 0;            // dropped before the first byte was sent
+    std::uint64_t connectFailed = 0;      // failed or timed out before the opening line was sent
     std::uint64_t attemptsRejected = 0;   // BUSY
     std::uint64_t errors = 0;             // ERR, or a malformed response
     std::uint64_t timedOut = 0;           // no response to the opening line in time
