--- a/src/decision/admission_control.cpp
+++ b/src/decision/admission_control.cpp
@@ -31,8 +31,8 @@
     if (!fleetBusy || settings.overQuotaPriorityWeight >= 1.0) return false;
     const auto tenant = static_cast<std::size_t>(request.arrival.tenant);
     if (tenant >= connections_.size() || settings.tenants[tenant].quotaConnections <= 0) return false;
-    const double ownQuota = settings.tenants[tenant].quotaConnections / settings.nodes;
-    const double limit = ownQuota + kQuotaDeviations * std::sqrt(ownQuota);
+    const double quotaOfThisNode = settings.tenants[tenant].quotaConnections / settings.nodes;
+    const double limit = quotaOfThisNode + kQuotaDeviations * std::sqrt(quotaOfThisNode);
     return connections_[tenant] > limit && mayReject(request);
 }
 
--- a/src/decision/affinity_groups.cpp
+++ b/src/decision/affinity_groups.cpp
@@ -6,15 +6,15 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kMinEndpoints = 2.0;     // one endpoint may be lost
-constexpr double kEndpointsMargin = 3.0;  // times what a group fills alone: others share the endpoints
-constexpr double kPriorPairs = 40.0;      // assumed pairs of arrivals, one of them of the same group
-constexpr std::size_t kMaxGroups = 4096;  // then all counts restart: groups end, and memory is bounded
+constexpr double kMinEndpoints = 2.0;            // one endpoint may be lost
+constexpr double kEndpointsMargin = 3.0;         // times what a group fills alone: others share the endpoints
+constexpr double kPriorPairs = 40.0;             // assumed pairs of arrivals, one of them of the same group
+constexpr std::size_t kMaxCountedGroups = 4096;  // then all counts restart: groups end, and memory is bounded
 
 }  // namespace
 
 void AffinityGroups::recordArrival(GroupId group) {
-    if (arrivalsByGroup_.size() >= kMaxGroups) {
+    if (arrivalsByGroup_.size() >= kMaxCountedGroups) {
         arrivalsByGroup_.clear();
         sameGroupPairs_ = 0.0;
         arrivals_ = 0.0;
@@ -26,16 +26,16 @@
 }
 
 void AffinityGroups::changeConnections(GroupId group, EndpointId endpoint, int change) {
-    int& count = members_[{group, endpoint}];
+    int& count = connectionCounts_[{group, endpoint}];
     count += change;
-    if (count <= 0) members_.erase({group, endpoint});
+    if (count <= 0) connectionCounts_.erase({group, endpoint});
 }
 
-int AffinityGroups::MemberCursor::countAt(EndpointId endpoint) {
+int AffinityGroups::ConnectionCountCursor::countAt(EndpointId endpoint) {
     const std::pair wanted(group_, endpoint);
-    while (position_ != members_->end() && position_->first < wanted)
+    while (position_ != connectionCounts_->end() && position_->first < wanted)
         ++position_;
-    return position_ != members_->end() && position_->first == wanted ? position_->second : 0;
+    return position_ != connectionCounts_->end() && position_->first == wanted ? position_->second : 0;
 }
 
 std::ptrdiff_t AffinityGroups::endpointsPerGroup(std::size_t endpointCount) const {
--- a/src/decision/affinity_groups.hpp
+++ b/src/decision/affinity_groups.hpp
@@ -11,7 +11,7 @@
 namespace ivyreel {
 
 class AffinityGroups {
-    using MemberMap = std::map<std::pair<GroupId, EndpointId>, int>;
+    using ConnectionCounts = std::map<std::pair<GroupId, EndpointId>, int>;
 
   public:
     void recordArrival(GroupId group);
@@ -19,27 +19,29 @@
 
     // Looks up the number of a group's connections at successive endpoints. Calls must pass the endpoints in
     // the order of their ids.
-    class MemberCursor {
+    class ConnectionCountCursor {
       public:
         int countAt(EndpointId endpoint);
 
       private:
         friend class AffinityGroups;
-        MemberCursor(const MemberMap& members, GroupId group)
-            : members_(&members), group_(group), position_(members.lower_bound({group, EndpointId{0}})) {}
+        ConnectionCountCursor(const ConnectionCounts& counts, GroupId group)
+            : connectionCounts_(&counts),
+              group_(group),
+              position_(counts.lower_bound({group, EndpointId{0}})) {}
 
-        const MemberMap* members_;
+        const ConnectionCounts* connectionCounts_;
         GroupId group_;
-        MemberMap::const_iterator position_;
+        ConnectionCounts::const_iterator position_;
     };
-    MemberCursor membersOf(GroupId group) const { return {members_, group}; }
+    ConnectionCountCursor connectionCountsOf(GroupId group) const { return {connectionCounts_, group}; }
 
     // The number of endpoints that a group is to use: as many as it fills by its share of the arrivals, times
     // a margin, but no fewer than a minimum. The result may exceed `endpointCount`.
     std::ptrdiff_t endpointsPerGroup(std::size_t endpointCount) const;
 
   private:
-    MemberMap members_;
+    ConnectionCounts connectionCounts_;
     std::map<GroupId, int> arrivalsByGroup_;
     double sameGroupPairs_ = 0.0;  // ordered pairs of arrivals of the same group
     double arrivals_ = 0.0;
--- a/src/decision/candidate.hpp
+++ b/src/decision/candidate.hpp
@@ -9,7 +9,7 @@
 
 struct Candidate {
     const Endpoint* endpoint = nullptr;
-    int groupMembers = 0;  // this node's connections of the request's group at the endpoint; 0 if ignored
+    int groupConnections = 0;  // this node's connections of the request's group at the endpoint; 0 if ignored
     double exponentialSample = 0.0;  // -log of a random number: a hash of endpoint and request or group
     double locality = 0.0;           // factor of the weight; 1 in this node's zone
     double weight = 0.0;
--- a/src/decision/decision_state.hpp
+++ b/src/decision/decision_state.hpp
@@ -38,7 +38,8 @@
     Settings settings;
     SplitMix64 random;
     Time startedAt{0};
-    Time newNodeUntil{0};  // until then, reconnecting clients count as clients of other nodes
+    // Until then, reconnecting clients count as clients of other nodes.
+    Time reconnectsAreExistingLoadUntil{0};
     bool requestTimerSet = false;
 
     EndpointTable endpoints;
--- a/src/decision/endpoint_selection_engine.cpp
+++ b/src/decision/endpoint_selection_engine.cpp
@@ -43,7 +43,8 @@
 void EndpointSelectionEngine::on(const Started& /*event*/, EventContext eventContext) {
     state_.startedAt = eventContext.now;
     state_.arrivals.start(eventContext.now);
-    if (isSmallFleet(state_.settings.nodes)) state_.newNodeUntil = eventContext.now + kNewNodePeriod;
+    if (isSmallFleet(state_.settings.nodes))
+        state_.reconnectsAreExistingLoadUntil = eventContext.now + kNewNodePeriod;
     if (state_.settings.discoveryMode == DiscoveryMode::Poll) pollEndpointList(eventContext);
     const Micros firstDelay =
         scaled(endpointTimerInterval(state_.settings), state_.random.next()) + Micros{1};
@@ -55,7 +56,7 @@
     state_.saturationThreshold.changeSettings(state_.settings, event.settings);
     state_.settings = event.settings;
     applySettings();
-    retryWaitingRequests(state_, RetryScope::All, eventContext);
+    retryWaitingRequests(state_, RetryScope::AllExceptAwaitingReport, eventContext);
 }
 
 void EndpointSelectionEngine::applySettings() {
@@ -115,7 +116,7 @@
     if (state_.settings.discoveryMode == DiscoveryMode::Poll && state_.listPolling.isDue(eventContext.now))
         pollEndpointList(eventContext);
     startDueHealthChecks(state_, eventContext);
-    retryWaitingRequests(state_, RetryScope::All, eventContext);
+    retryWaitingRequests(state_, RetryScope::AllExceptAwaitingReport, eventContext);
     evacuateEndpoints(state_, eventContext);
 }
 
@@ -128,12 +129,12 @@
     if (event.kind != EndpointListKind::Cached) state_.listPolling.recordSuccess();
     state_.endpoints.apply(event, state_.settings.weightKind, eventContext.now, state_.startedAt);
     startDueHealthChecks(state_, eventContext);
-    retryWaitingRequests(state_, RetryScope::All, eventContext);
+    retryWaitingRequests(state_, RetryScope::AllExceptAwaitingReport, eventContext);
 }
 
 void EndpointSelectionEngine::on(const EndpointBanChanged& event, EventContext eventContext) {
     state_.endpoints.setBanned(event.endpoint, event.banned);
-    retryWaitingRequests(state_, RetryScope::All, eventContext);
+    retryWaitingRequests(state_, RetryScope::AllExceptAwaitingReport, eventContext);
 }
 
 void EndpointSelectionEngine::pollEndpointList(EventContext eventContext) {
@@ -150,7 +151,9 @@
     if (event.report) applyLoadReport(state_, *endpoint, *event.report, eventContext);
     const double limit = kFullUtilisation * state_.saturationThreshold.withTolerance();
     const bool hasSpareCapacity = event.report && endpoint->utilisation < limit;
-    retryWaitingRequests(state_, hasSpareCapacity ? RetryScope::All : RetryScope::PollResolved, eventContext);
+    retryWaitingRequests(state_,
+                         hasSpareCapacity ? RetryScope::AllExceptAwaitingReport : RetryScope::PollResolved,
+                         eventContext);
 }
 
 // ---- lifecycle of a request ----
@@ -159,7 +162,7 @@
     Request& request = state_.requests.findOrAdd(event.request);
     state_.requests.markUnconnected(event.request);
     initialise(request, event, eventContext.now);
-    request.deadline = eventContext.now + event.clientTimeout;
+    request.clientTimeoutAt = eventContext.now + event.clientTimeout;
     request.randomNumber = state_.random.bits();
     state_.arrivals.recordArrival(eventContext.now);
     state_.loads.recordArrival(request.load);
@@ -182,7 +185,7 @@
     if (found == nullptr || !found->attemptOutstanding) return false;
     const Endpoint* endpoint = state_.endpoints.find(found->target.id);
     return endpoint != nullptr && state_.endpoints.isReady(*endpoint) &&
-           mayRetry(*found, state_.settings, now) && endpoint->entry.startedAt == found->target.startedAt;
+           mayBeSent(*found, state_.settings, now) && endpoint->entry.startedAt == found->target.startedAt;
 }
 
 void EndpointSelectionEngine::on(const ConnectionResumed& event, EventContext eventContext) {
@@ -191,7 +194,7 @@
     request.attempts = 1;
     request.target.id = event.endpoint;
     request.connected = true;
-    state_.newNodeUntil = eventContext.now;
+    state_.reconnectsAreExistingLoadUntil = eventContext.now;
     state_.endpoints.findOrAdd(event.endpoint);
     addToConnectionCounts(state_, request);
 }
@@ -242,13 +245,13 @@
     request->connected = false;
     state_.requests.markUnconnected(event.request);
     setRequestTimer(state_, eventContext);
-    if (mayHaveExecuted(event.outcome) && !request->mayHaveExecuted) {
+    if (isExecutionPossible(event.outcome) && !request->mayHaveExecuted) {
         request->mayHaveExecuted = true;
         request->firstExecutionSentAt = request->sentAt;
         request->firstExecution = request->target;
     }
     request->triedEndpoints.push_back(event.endpoint);
-    if (!mayRetry(*request, state_.settings, eventContext.now))
+    if (!mayBeSent(*request, state_.settings, eventContext.now))
         return finishRequest(state_, event.request, *request, eventContext);
     placeRequest(state_, event.request, *request, eventContext);
 }
--- a/src/decision/locality_preference.cpp
+++ b/src/decision/locality_preference.cpp
@@ -11,7 +11,7 @@
 constexpr double kFullPreferenceBelow = 0.65;
 // Minimum range below the saturation threshold in which the preference fades, in load over capacity. It
 // applies where the threshold is low.
-constexpr double kMinFadingRange = 0.05;
+constexpr double kMinTransitionRange = 0.05;
 // Cross-zone cost above which the range is narrower, in inverse proportion to the cost.
 constexpr double kHighCrossZoneCost = 0.03;
 constexpr double kHalvingCrossZoneCost = 0.005;  // cost that halves the weight of other zones' endpoints
@@ -31,12 +31,12 @@
     if (count == 0) return 1.0;
     const double threshold = context.saturationThreshold.value();
     const double cost = context.settings.crossZoneCost;
-    const double fadingRange = std::max(threshold - kFullPreferenceBelow, kMinFadingRange) *
-                               std::min(1.0, kHighCrossZoneCost / cost);
+    const double transitionRange = std::max(threshold - kFullPreferenceBelow, kMinTransitionRange) *
+                                   std::min(1.0, kHighCrossZoneCost / cost);
     const double localLoad = sum / count / kFullUtilisation;
-    const double faded = std::clamp((localLoad - threshold) / fadingRange + 1.0, 0.0, 1.0);
+    const double transitionProgress = std::clamp((localLoad - threshold) / transitionRange + 1.0, 0.0, 1.0);
     const double minimumWeight = kHalvingCrossZoneCost / (kHalvingCrossZoneCost + cost);
-    return minimumWeight + (1.0 - minimumWeight) * faded;
+    return minimumWeight + (1.0 - minimumWeight) * transitionProgress;
 }
 
 }  // namespace ivyreel
--- a/src/decision/request.hpp
+++ b/src/decision/request.hpp
@@ -17,7 +17,7 @@
     RequestClassSettings requestClass;  // as of the arrival
     int maxAttempts = 0;                // as of the arrival
     Time arrivedAt{0};
-    Time deadline{0};
+    Time clientTimeoutAt{0};
     double load = 0.0;  // microseconds of work a second: expected, later measured
     std::uint64_t randomNumber = 0;
     // Attempts.
--- a/src/decision/request_placement.cpp
+++ b/src/decision/request_placement.cpp
@@ -34,10 +34,10 @@
 
 // Keeps the request waiting while an endpoint may become usable again or get spare capacity. Rejects it, if
 // it may be rejected, before its latency objective has passed.
-void waitOrFinish(DecisionState& state, RequestId id, Request& request, EventContext eventContext) {
+void finishUnlessWaiting(DecisionState& state, RequestId id, Request& request, EventContext eventContext) {
     const Micros maxWait = scaled(request.requestClass.latencyObjective, kMaxWaitShare);
     const bool maxWaitReached = eventContext.now >= request.arrivedAt + maxWait;
-    const bool retryImpossible = !mayRetry(request, state.settings, eventContext.now);
+    const bool retryImpossible = !mayBeSent(request, state.settings, eventContext.now);
     if (retryImpossible || (maxWaitReached && mayReject(request)))
         finishRequest(state, id, request, eventContext);
 }
@@ -51,7 +51,8 @@
     // Departure, a new node: a client that reconnects to a node which started without inherited connections
     // had its connection at another node before, so its load is not new to the fleet. This prevents a node
     // that takes over the clients of a stopping node from estimating all endpoints as full.
-    const bool fromAnotherNode = request.arrival.reconnecting && eventContext.now < state.newNodeUntil;
+    const bool fromAnotherNode =
+        request.arrival.reconnecting && eventContext.now < state.reconnectsAreExistingLoadUntil;
     const RecentSend send{id, eventContext.now, request.load, fromAnotherNode};
     endpoint.recentSends.push_back(send);
     state.fleet.recordSend(send);
@@ -79,10 +80,10 @@
         return finishRequest(state, id, request, eventContext);
     const std::optional<Selection> selection = select(state, request, eventContext.now);
     request.waitsForReport = selection && selection->pollFirst;
-    if (!selection) return waitOrFinish(state, id, request, eventContext);
+    if (!selection) return finishUnlessWaiting(state, id, request, eventContext);
     if (selection->pollFirst) {
         pollLoad(state, request, selection->endpoint, eventContext);
-        return waitOrFinish(state, id, request, eventContext);
+        return finishUnlessWaiting(state, id, request, eventContext);
     }
     startAttempt(state, id, request, *state.endpoints.find(selection->endpoint), eventContext);
 }
@@ -92,7 +93,7 @@
         Request& request = *state.requests.find(id);
         if (request.attemptOutstanding) continue;
         const bool retry = request.waitsForReport ? !isReportAwaited(state, request, eventContext.now)
-                                                  : scope == RetryScope::All;
+                                                  : scope == RetryScope::AllExceptAwaitingReport;
         if (retry) placeRequest(state, id, request, eventContext);
     }
 }
--- a/src/decision/request_placement.hpp
+++ b/src/decision/request_placement.hpp
@@ -10,8 +10,8 @@
 
 // Which of the waiting requests are placed again.
 enum class RetryScope {
-    All,           // an endpoint may be usable again, or have spare capacity
-    PollResolved,  // only those whose awaited load report has arrived, or can no longer arrive
+    AllExceptAwaitingReport,  // an endpoint may be usable again, or have spare capacity
+    PollResolved,             // only those whose awaited load report has arrived, or can no longer arrive
 };
 
 // Starts an attempt, keeps the request waiting, or gives its final answer. The final answer erases the
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -33,7 +33,7 @@
     return request.attempts >= std::min(request.maxAttempts, limits.maxAttempts);
 }
 
-bool mayRetry(const Request& request, const Settings& settings, Time now) {
+bool mayBeSent(const Request& request, const Settings& settings, Time now) {
     if (isUnrestricted(request)) return true;
     if (request.requestClass.idempotency != Idempotency::WithKey) return false;
     const Time windowEnd = request.firstExecutionSentAt + request.requestClass.deduplicationWindow;
@@ -42,7 +42,7 @@
 
 bool maySendTo(const Request& request, const Endpoint& endpoint, const Settings& settings, Time now) {
     if (isUnrestricted(request)) return true;
-    return mayRetry(request, settings, now) && isInDeduplicationScope(request, endpoint);
+    return mayBeSent(request, settings, now) && isInDeduplicationScope(request, endpoint);
 }
 
 bool mayReject(const Request& request) {
@@ -53,23 +53,23 @@
     return keyKnownEverywhere || (!request.mayHaveExecuted && !request.attemptOutstanding);
 }
 
-bool mayHaveExecuted(Outcome outcome) {
+bool isExecutionPossible(Outcome outcome) {
     return outcome != Outcome::Rejected && outcome != Outcome::ConnectFailed && outcome != Outcome::NotSent;
 }
 
 Time finalAnswerDeadline(const Request& request, const Settings& settings) {
-    return request.deadline - requestTimerInterval(settings) - settings.eventResolution;
+    return request.clientTimeoutAt - requestTimerInterval(settings) - settings.eventResolution;
 }
 
 Micros attemptTimeout(const Request& request, const RequestLimits& limits, double meanSetupMicros, Time now) {
-    const Micros untilDeadline = request.deadline - now;
-    if (areAttemptsExhausted(request, limits)) return untilDeadline;
-    if (request.requestClass.idempotency == Idempotency::NonIdempotent) return untilDeadline;
+    const Micros untilClientTimeout = request.clientTimeoutAt - now;
+    if (areAttemptsExhausted(request, limits)) return untilClientTimeout;
+    if (request.requestClass.idempotency == Idempotency::NonIdempotent) return untilClientTimeout;
     const Micros untilObjective = request.arrivedAt + request.requestClass.latencyObjective - now;
     const Micros setupAllowance{static_cast<Micros::rep>(kSetupTimesPerAttempt * meanSetupMicros)};
     const Micros minimumTimeout = std::max(limits.connectTimeout, setupAllowance);
-    const Micros available = untilObjective > Micros{0} ? untilObjective : untilDeadline;
-    return std::min(untilDeadline, std::max(minimumTimeout, available / 2));
+    const Micros available = untilObjective > Micros{0} ? untilObjective : untilClientTimeout;
+    return std::min(untilClientTimeout, std::max(minimumTimeout, available / 2));
 }
 
 }  // namespace ivyreel
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -17,7 +17,7 @@
 bool areAttemptsExhausted(const Request& request, const RequestLimits& limits);
 
 // Whether any endpoint may get the request.
-bool mayRetry(const Request& request, const Settings& settings, Time now);
+bool mayBeSent(const Request& request, const Settings& settings, Time now);
 // Whether this endpoint may get the request.
 bool maySendTo(const Request& request, const Endpoint& endpoint, const Settings& settings, Time now);
 
@@ -25,7 +25,7 @@
 bool mayReject(const Request& request);
 
 // Whether an attempt with this outcome may have executed the request.
-bool mayHaveExecuted(Outcome outcome);
+bool isExecutionPossible(Outcome outcome);
 
 // The time before which attempts may start, and at which the final answer is due.
 Time finalAnswerDeadline(const Request& request, const Settings& settings);
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -15,7 +15,8 @@
 constexpr double kBudgetShare = 0.8;  // used part of the stated budget: endpoints of one kind differ in size
 // Used part of the capacity that loads and listed sizes suggest, because speeds differ twofold.
 constexpr double kCapacityEstimateShare = 0.5;
-constexpr double kMaxProbability = 0.99;  // of selection: one of the next two requests still takes the slot
+// One of the next two requests still takes the slot.
+constexpr double kMaxSelectionProbability = 0.99;
 constexpr double kOpenSlotDeviations = 2.0;  // standard deviations of a count of independent senders
 
 // The distance between the slot positions of nodes with adjacent indices, about a golden section of the
@@ -67,22 +68,23 @@
     const Settings& settings = context_.settings;
     const OperatingLimits& limits = settings.operatingLimits;
     // Connections over the whole slow start, if the endpoint had its full capacity throughout.
-    const double total = kBudgetShare * limits.overloadMultiple * connectionsAtCapacity(endpoint);
+    const double totalAtFullCapacity =
+        kBudgetShare * limits.overloadMultiple * connectionsAtCapacity(endpoint);
     const auto dueUntil = [&](double progress) {
-        return total * progress *
+        return totalAtFullCapacity * progress *
                (limits.slowStartInitialShare + (1.0 - limits.slowStartInitialShare) * progress / 2.0);
     };
     const double position = slotPosition(endpoint, settings, nodeStride_);
     SlowStartSlots result;
     result.perSecond =
-        total * warmUpShare(endpoint, limits, context_.now) / seconds(limits.slowStartDuration);
+        totalAtFullCapacity * warmUpShare(endpoint, limits, context_.now) / seconds(limits.slowStartDuration);
     const double perWindow = result.perSecond * seconds(limits.overloadWindow);
-    result.open = kOpenSlotDeviations * std::sqrt(perWindow) + 1.0;
+    result.maxOpen = kOpenSlotDeviations * std::sqrt(perWindow) + 1.0;
     const double dueNow = dueUntil(warmUpProgress(endpoint, limits, context_.now));
     const double used = dueUntil(warmUpProgress(endpoint, limits, endpoint.slowStartSlotsUsedUntil));
-    const double from = std::max(used, dueNow - result.open);
-    result.own =
-        std::floor((dueNow - position) / settings.nodes) - std::floor((from - position) / settings.nodes);
+    const double closedSlots = std::max(used, dueNow - result.maxOpen);
+    result.openAtThisNode = std::floor((dueNow - position) / settings.nodes) -
+                            std::floor((closedSlots - position) / settings.nodes);
     return result;
 }
 
@@ -91,7 +93,7 @@
     const double slotsNeeded = std::max(1.0, request.arrival.loadHint.value_or(0.0) / loads_.typical());
     const std::uint64_t hash = hash64(static_cast<std::uint64_t>(endpoint.entry.id));
     const double uniformSample = unitInterval(hash64(request.randomNumber + hash));
-    return slotsNeeded <= available.open + 1.0 && slotsNeeded * uniformSample < available.own;
+    return slotsNeeded <= available.maxOpen + 1.0 && slotsNeeded * uniformSample < available.openAtThisNode;
 }
 
 // The probability with which a request that arrives while this node has an open slot selects the candidate.
@@ -100,9 +102,10 @@
                                        const ArrivalRate& arrivals) const {
     const SlowStartSlots available = slots(*candidate.endpoint);
     const double nodes = context_.settings.nodes;
-    const double targetProbability = candidate.weight / totalWeight * std::max(1.0, nodes / available.open);
-    if (nodes <= available.open) return targetProbability;
-    const double arrivalsPerSlot = arrivals.perSecond(context_.now) * available.open / available.perSecond;
+    const double targetProbability =
+        candidate.weight / totalWeight * std::max(1.0, nodes / available.maxOpen);
+    if (nodes <= available.maxOpen) return targetProbability;
+    const double arrivalsPerSlot = arrivals.perSecond(context_.now) * available.maxOpen / available.perSecond;
     if (targetProbability * arrivalsPerSlot < 1.0)
         return -std::log1p(-targetProbability * arrivalsPerSlot) / arrivalsPerSlot;
     return 1.0;
@@ -115,7 +118,7 @@
     for (Candidate& candidate : set.candidates) {
         if (!isWarmingUp(*candidate.endpoint) || candidate.weight <= 0.0 || others <= 0.0) continue;
         const double probability = selectionProbability(candidate, set.totalWeight, arrivals);
-        candidate.weight = others / (1.0 / std::min(probability, kMaxProbability) - 1.0);
+        candidate.weight = others / (1.0 / std::min(probability, kMaxSelectionProbability) - 1.0);
     }
 }
 
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -20,9 +20,9 @@
 namespace ivyreel {
 
 struct SlowStartSlots {
-    double perSecond = 0.0;  // slots that become due a second at present, of all nodes together
-    double open = 0.0;       // slots that are open at the same time, of all nodes together
-    double own = 0.0;        // open slots of this node
+    double perSecond = 0.0;       // slots that become due a second at present, of all nodes together
+    double maxOpen = 0.0;         // slots that are open at the same time, of all nodes together
+    double openAtThisNode = 0.0;  // open slots of this node
 };
 
 // Refers to the arguments of its constructor, which must outlive it.
--- a/src/decision/weighted_selection.cpp
+++ b/src/decision/weighted_selection.cpp
@@ -22,8 +22,8 @@
 // members select the same endpoint. This prevents each group from being spread over the fleet.
 std::uint64_t selectionKey(const Request& request, const Settings& settings) {
     if (hasAffinity(request, settings)) return static_cast<std::uint64_t>(request.arrival.group);
-    const bool anyNode = settings.forwardingMode == ForwardingMode::Passthrough;
-    if (anyNode && request.arrival.flowKey != FlowKey{0})
+    const bool flowMayReachAnyNode = settings.forwardingMode == ForwardingMode::Passthrough;
+    if (flowMayReachAnyNode && request.arrival.flowKey != FlowKey{0})
         return static_cast<std::uint64_t>(request.arrival.flowKey);
     return request.randomNumber;
 }
@@ -36,7 +36,7 @@
 // those with a lower score.
 const Candidate& bestCandidate(const std::vector<Candidate>& candidates) {
     const auto rank = [](const Candidate& candidate) {
-        return std::tuple(-candidate.groupMembers, candidate.weight > 0.0 ? 0 : 1,
+        return std::tuple(-candidate.groupConnections, candidate.weight > 0.0 ? 0 : 1,
                           rendezvousScore(candidate));
     };
     return *std::min_element(
@@ -82,15 +82,15 @@
 CandidateSet WeightedSelection::findCandidates(const Request& request, Eligibility eligibility) const {
     const bool concentratesGroup = fleetBusy_ && hasAffinity(request, context_.settings);
     const std::uint64_t key = hash64(selectionKey(request, context_.settings));
-    AffinityGroups::MemberCursor members = groups_.membersOf(request.arrival.group);
+    AffinityGroups::ConnectionCountCursor counts = groups_.connectionCountsOf(request.arrival.group);
     CandidateSet result;
     result.candidates.reserve(context_.endpoints.size());
     for (const Endpoint& endpoint : context_.endpoints) {
         if (!isEligible(endpoint, request, eligibility)) continue;
         const EndpointId id = endpoint.entry.id;
-        const int groupMembers = concentratesGroup ? members.countAt(id) : 0;
+        const int groupConnections = concentratesGroup ? counts.countAt(id) : 0;
         const double uniformSample = unitInterval(hash64(key ^ hash64(static_cast<std::uint64_t>(id) + 1)));
-        result.candidates.push_back({&endpoint, groupMembers, -std::log(uniformSample)});
+        result.candidates.push_back({&endpoint, groupConnections, -std::log(uniformSample)});
     }
     setWeights(result, request);
     if (concentratesGroup && eligibility == Eligibility::Preferred) retainGroupEndpoints(result);
@@ -133,8 +133,9 @@
                                  : unused - utilisation_.added(endpoint, request.load, capacity);
         candidate.weight = candidate.locality * factor * spare;
         // For a warmed-up endpoint that can be polled, the total assumes the estimated utilisation.
-        const bool assumed = candidate.canBePolled && !slowStart_.isWarmingUp(endpoint);
-        set.totalWeight += assumed ? candidate.locality * factor * unused : std::max(0.0, candidate.weight);
+        const bool usesEstimatedUtilisation = candidate.canBePolled && !slowStart_.isWarmingUp(endpoint);
+        set.totalWeight +=
+            usesEstimatedUtilisation ? candidate.locality * factor * unused : std::max(0.0, candidate.weight);
     }
 }
 
@@ -153,7 +154,7 @@
     std::nth_element(scores.begin(), scores.begin() + kept - 1, scores.end());
     const double highestRetained = scores[static_cast<std::size_t>(kept) - 1];
     std::erase_if(set.candidates, [&](const Candidate& candidate) {
-        return candidate.groupMembers == 0 && !slowStart_.isWarmingUp(*candidate.endpoint) &&
+        return candidate.groupConnections == 0 && !slowStart_.isWarmingUp(*candidate.endpoint) &&
                localityScore(candidate) > highestRetained;
     });
 }
@@ -161,7 +162,7 @@
 bool WeightedSelection::hasSpareCapacity(const Candidate& candidate) const {
     if (candidate.canBePolled) return true;
     const SaturationThreshold& threshold = context_.saturationThreshold;
-    const double limit = candidate.groupMembers > 0 ? threshold.withTolerance() : threshold.value();
+    const double limit = candidate.groupConnections > 0 ? threshold.withTolerance() : threshold.value();
     return candidate.utilisation < kFullUtilisation * limit;
 }
 
--- a/tests/decision/affinity_groups_test.cpp
+++ b/tests/decision/affinity_groups_test.cpp
@@ -89,23 +89,23 @@
     groups.changeConnections(GroupId{1}, EndpointId{5}, 1);
     groups.changeConnections(GroupId{1}, EndpointId{9}, 1);
     groups.changeConnections(GroupId{2}, EndpointId{7}, 1);
-    AffinityGroups::MemberCursor members = groups.membersOf(GroupId{1});
-    EXPECT_EQ(members.countAt(EndpointId{1}), 0);
-    EXPECT_EQ(members.countAt(EndpointId{5}), 2);
-    EXPECT_EQ(members.countAt(EndpointId{5}), 2) << "the same endpoint again";
-    EXPECT_EQ(members.countAt(EndpointId{7}), 0) << "connections of another group";
-    EXPECT_EQ(members.countAt(EndpointId{9}), 1);
-    EXPECT_EQ(members.countAt(EndpointId{99}), 0);
-    EXPECT_EQ(groups.membersOf(GroupId{3}).countAt(EndpointId{5}), 0);
+    AffinityGroups::ConnectionCountCursor counts = groups.connectionCountsOf(GroupId{1});
+    EXPECT_EQ(counts.countAt(EndpointId{1}), 0);
+    EXPECT_EQ(counts.countAt(EndpointId{5}), 2);
+    EXPECT_EQ(counts.countAt(EndpointId{5}), 2) << "the same endpoint again";
+    EXPECT_EQ(counts.countAt(EndpointId{7}), 0) << "connections of another group";
+    EXPECT_EQ(counts.countAt(EndpointId{9}), 1);
+    EXPECT_EQ(counts.countAt(EndpointId{99}), 0);
+    EXPECT_EQ(groups.connectionCountsOf(GroupId{3}).countAt(EndpointId{5}), 0);
 }
 
 TEST(AffinityGroups, CountsDoNotFallBelowZero) {
     AffinityGroups groups;
     groups.changeConnections(GroupId{1}, EndpointId{5}, -1);
     groups.changeConnections(GroupId{1}, EndpointId{5}, 1);
-    EXPECT_EQ(groups.membersOf(GroupId{1}).countAt(EndpointId{5}), 1);
+    EXPECT_EQ(groups.connectionCountsOf(GroupId{1}).countAt(EndpointId{5}), 1);
     groups.changeConnections(GroupId{1}, EndpointId{5}, -1);
-    EXPECT_EQ(groups.membersOf(GroupId{1}).countAt(EndpointId{5}), 0);
+    EXPECT_EQ(groups.connectionCountsOf(GroupId{1}).countAt(EndpointId{5}), 0);
 }
 
 TEST(AffinityGroups, SmallGroupsHaveTwoEndpoints) {
--- a/tests/decision/locality_preference_test.cpp
+++ b/tests/decision/locality_preference_test.cpp
@@ -8,13 +8,13 @@
 namespace ivyreel::test {
 namespace {
 
-double localZoneShare(double ownLoad, double availabilityWeight = 0.0) {
+double localZoneShare(double reportedLoad, double availabilityWeight = 0.0) {
     Settings settings = defaultSettings();
     settings.nodes = 1;
     settings.availabilityWeight = availabilityWeight;
     DecisionEngineDriver d{settings};
-    d.setReportedLoad(1, ownLoad);
-    d.setReportedLoad(2, ownLoad);
+    d.setReportedLoad(1, reportedLoad);
+    d.setReportedLoad(2, reportedLoad);
     d.updateEndpointList({endpointEntry(1, 0), endpointEntry(2, 1)});
     int own = 0;
     for (int i = 0; i < 4000; ++i) {
@@ -66,11 +66,11 @@
 // ---- crossZoneWeight without the engine ----
 
 // The weight factor of other zones if the only endpoint in the own zone has this load over capacity.
-double weightAtLoad(double ownLoad, double crossZoneCost = 0.02) {
+double weightAtLoad(double reportedLoad, double crossZoneCost = 0.02) {
     DecisionFixture f;
     f.settings.crossZoneCost = crossZoneCost;
     f.list({endpointEntry(1, 0), endpointEntry(2, 1)});
-    f.report(1, ownLoad);
+    f.report(1, reportedLoad);
     f.report(2, 0.1);
     const FleetSnapshot fleet;
     const DecisionContext context = f.context();
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -202,11 +202,11 @@
 
 TEST(RetryPolicy, OnlySomeOutcomesRuleOutExecution) {
     for (const Outcome outcome : {Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent}) {
-        EXPECT_FALSE(mayHaveExecuted(outcome));
+        EXPECT_FALSE(isExecutionPossible(outcome));
     }
     for (const Outcome outcome :
          {Outcome::Ok, Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled}) {
-        EXPECT_TRUE(mayHaveExecuted(outcome));
+        EXPECT_TRUE(isExecutionPossible(outcome));
     }
 }
 
@@ -229,16 +229,16 @@
     const Settings settings = defaultSettings();
     const Request request = executedRequest(Idempotency::WithKey);
     const Time end = kNow + 1s - 20ms;
-    EXPECT_TRUE(mayRetry(request, settings, end - 1us));
-    EXPECT_FALSE(mayRetry(request, settings, end));
-    EXPECT_TRUE(mayRetry(executedRequest(Idempotency::Idempotent), settings, end));
-    EXPECT_FALSE(mayRetry(executedRequest(Idempotency::NonIdempotent), settings, kNow));
+    EXPECT_TRUE(mayBeSent(request, settings, end - 1us));
+    EXPECT_FALSE(mayBeSent(request, settings, end));
+    EXPECT_TRUE(mayBeSent(executedRequest(Idempotency::Idempotent), settings, end));
+    EXPECT_FALSE(mayBeSent(executedRequest(Idempotency::NonIdempotent), settings, kNow));
 }
 
 TEST(RetryPolicy, UnexecutedRequestIsNotRestricted) {
     Request request = executedRequest(Idempotency::NonIdempotent, DeduplicationScope::Cell);
     request.mayHaveExecuted = false;
-    EXPECT_TRUE(mayRetry(request, defaultSettings(), kNow + 3600s));
+    EXPECT_TRUE(mayBeSent(request, defaultSettings(), kNow + 3600s));
     EXPECT_TRUE(maySendTo(request, endpointIn(7, 7), defaultSettings(), kNow + 3600s));
 }
 
@@ -269,7 +269,7 @@
     Settings settings = defaultSettings();
     settings.eventResolution = 50ms;
     Request request;
-    request.deadline = kNow;
+    request.clientTimeoutAt = kNow;
     EXPECT_EQ(finalAnswerDeadline(request, settings), kNow - 100ms);
 }
 
@@ -281,7 +281,7 @@
     request.requestClass.idempotency = idempotency;
     request.requestClass.latencyObjective = 800ms;
     request.arrivedAt = kNow;
-    request.deadline = kNow + 3s;
+    request.clientTimeoutAt = kNow + 3s;
     request.maxAttempts = 4;
     request.attempts = attempts;
     RequestLimits limits;
--- a/tests/decision/simulated_fleet.cpp
+++ b/tests/decision/simulated_fleet.cpp
@@ -58,10 +58,11 @@
     const double load =
         endpoint.loadOfOtherNodes + endpoint.loadOfThisNode * endpoint.slowness / capacity + noise;
     LoadReport report;
-    const double shape = random_.next();
-    if (shape < 0.7) report.loadOverCapacity = load;
-    if (shape >= 0.6 && shape < 0.9) report.cpuUtilisation = std::min(1.0, load * 0.9);
-    if (shape > 0.98) report.loadOverCapacity = random_.chance(0.3) ? kNaN : random_.between(-1.0, 30.0);
+    const double fieldSelector = random_.next();
+    if (fieldSelector < 0.7) report.loadOverCapacity = load;
+    if (fieldSelector >= 0.6 && fieldSelector < 0.9) report.cpuUtilisation = std::min(1.0, load * 0.9);
+    if (fieldSelector > 0.98)
+        report.loadOverCapacity = random_.chance(0.3) ? kNaN : random_.between(-1.0, 30.0);
     if (random_.chance(0.8))
         report.activeRequests = endpoint.connectionsOfThisNode +
                                 std::floor(endpoint.loadOfOtherNodes * capacity / kMeanConnectionLoad);
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -67,7 +67,8 @@
 
 // The attempts that 100 nodes start within 2 s at a new endpoint whose budget is about 7 in a window, beside
 // 19 others at 0.5. Each node has 10 connections: 1,000 on 20 endpoints at 0.5, so 100 fill an endpoint.
-int attemptsToNewEndpoint(int requestsPerNode, Micros gap, std::uint64_t seed, double others = 0.5) {
+int attemptsToNewEndpoint(int requestsPerNode, Micros gap, std::uint64_t seed,
+                          double otherEndpointsLoad = 0.5) {
     int sent = 0;
     for (std::uint32_t node = 0; node < 100; ++node) {
         std::vector<EndpointEntry> entries;
@@ -84,7 +85,7 @@
         }
         EndpointEntry newEndpoint = endpointEntry(99);
         for (std::uint64_t id = 1; id <= 19; ++id) {
-            d.setReportedLoad(id, others);
+            d.setReportedLoad(id, otherEndpointsLoad);
         }
         d.advance(6s);
         newEndpoint.startedAt = d.now();
@@ -322,14 +323,14 @@
 double slotsOfAllNodes(std::uint32_t nodes, Time now) {
     double sum = 0.0;
     for (std::uint32_t node = 0; node < nodes; ++node)
-        sum += SlowStartFixture{nodes, node}.slots(now).own;
+        sum += SlowStartFixture{nodes, node}.slots(now).openAtThisNode;
     return sum;
 }
 
 TEST(SlowStartSlots, BelongToOneNodeEach) {
     for (const std::uint32_t nodes : {1U, 2U, 3U, 17U, 100U}) {
         for (const Micros elapsed : {Micros{2s}, Micros{5s}, Micros{8900ms}}) {
-            const double open = SlowStartFixture{nodes}.slots(kNow + elapsed).open;
+            const double open = SlowStartFixture{nodes}.slots(kNow + elapsed).maxOpen;
             EXPECT_NEAR(slotsOfAllNodes(nodes, kNow + elapsed), open, 1.0) << nodes << " nodes";
         }
     }
@@ -341,9 +342,9 @@
 
 TEST(SlowStartSlots, AreConsumedUpToTheRecordedTime) {
     SlowStartFixture f{1};
-    EXPECT_GT(f.slots(kNow + 5s).own, 0.0);
+    EXPECT_GT(f.slots(kNow + 5s).openAtThisNode, 0.0);
     f.endpoint(1).slowStartSlotsUsedUntil = kNow + 5s;
-    EXPECT_EQ(f.slots(kNow + 5s).own, 0.0);
+    EXPECT_EQ(f.slots(kNow + 5s).openAtThisNode, 0.0);
 }
 
 TEST(SlowStartSlots, RateFollowsWarmUpCapacityAndMultiple) {
@@ -360,8 +361,8 @@
     std::set<double> distinct;
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         first.settings.seed = same.settings.seed = seed;
-        EXPECT_EQ(first.slots(kNow + 4s).own, same.slots(kNow + 4s).own);
-        distinct.insert(first.slots(kNow + 4s).own);
+        EXPECT_EQ(first.slots(kNow + 4s).openAtThisNode, same.slots(kNow + 4s).openAtThisNode);
+        distinct.insert(first.slots(kNow + 4s).openAtThisNode);
     }
     EXPECT_GT(distinct.size(), 1U) << "the nodes have to use different slots";
 }
@@ -376,7 +377,7 @@
 
 TEST(SlowStartSlots, AdmitHeavyRequestsRarelyAndTooHeavyOnesNever) {
     SlowStartFixture f{1};
-    const double open = f.slots(kNow + 5s).open;
+    const double open = f.slots(kNow + 5s).maxOpen;
     const double typical = f.loads.typical();
     int heavy = 0;
     for (std::uint64_t i = 0; i < 1000; ++i) {
