--- a/src/decision/admission_control.hpp
+++ b/src/decision/admission_control.hpp
@@ -17,13 +17,16 @@
 
 class AdmissionControl {
   public:
-    // Sets the number of tenants. Existing counts are kept, and a lower number than before has no effect.
+    // Sets the number of tenants. Existing counts are kept, and a lower number than before has no effect:
+    // the settings passed to shouldShed must contain at least the highest number of tenants set so far.
     void setTenantCount(std::size_t tenants);
     void changeConnections(TenantIndex tenant, int change);
 
     // Departure, load shedding by quota: on a busy fleet the requests of tenants that are over their quota
     // are shed. This prevents requests of low priority weight from delaying the messages of other tenants. A
-    // request is shed only if the tenant's count at this node exceeds its quota by more than chance explains.
+    // request is shed only if it may be rejected, overQuotaPriorityWeight is below 1, and the tenant's
+    // connections at this node exceed this node's part of the quota (quota / nodes) by more than two standard
+    // deviations.
     bool shouldShed(const Request& request, const Settings& settings, bool fleetBusy) const;
 
   private:
--- a/src/decision/affinity_groups.cpp
+++ b/src/decision/affinity_groups.cpp
@@ -6,10 +6,11 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kMinEndpoints = 2.0;            // one endpoint may be lost
-constexpr double kEndpointsMargin = 3.0;         // times what a group fills alone: others share the endpoints
-constexpr double kPriorPairs = 40.0;             // assumed pairs of arrivals, one of them of the same group
-constexpr std::size_t kMaxCountedGroups = 4096;  // then all counts restart: groups end, and memory is bounded
+constexpr double kMinEndpoints = 2.0;     // one endpoint may be lost
+constexpr double kEndpointsMargin = 3.0;  // times what a group fills alone: others share the endpoints
+constexpr double kPriorPairs = 40.0;      // assumed pairs of arrivals, one of them of the same group
+// Number of groups at which the arrival counts are reset, to forget ended groups and to bound memory.
+constexpr std::size_t kMaxCountedGroups = 4096;
 
 }  // namespace
 
--- a/src/decision/affinity_groups.hpp
+++ b/src/decision/affinity_groups.hpp
@@ -36,8 +36,9 @@
     };
     ConnectionCountCursor connectionCountsOf(GroupId group) const { return {connectionCounts_, group}; }
 
-    // The number of endpoints that a group is to use: as many as it fills by its share of the arrivals, times
-    // a margin, but no fewer than a minimum. The result may exceed `endpointCount`.
+    // The number of endpoints that each group is to use, the same for all groups: endpointCount times the
+    // probability that two arrivals at this node belong to the same group, times a margin, but no fewer than
+    // a minimum. The result may exceed `endpointCount`.
     std::ptrdiff_t endpointsPerGroup(std::size_t endpointCount) const;
 
   private:
--- a/src/decision/decision_state.hpp
+++ b/src/decision/decision_state.hpp
@@ -38,7 +38,8 @@
     Settings settings;
     SplitMix64 random;
     Time startedAt{0};
-    // Until then, reconnecting clients count as clients of other nodes.
+    // Until then, reconnecting clients count as clients of other nodes. Set at the start in a small fleet;
+    // the first resumed connection ends the period.
     Time reconnectsAreExistingLoadUntil{0};
     bool requestTimerSet = false;
 
--- a/src/decision/endpoint_selection_engine.hpp
+++ b/src/decision/endpoint_selection_engine.hpp
@@ -1,5 +1,5 @@
-// The decision engine of one node: passes each event to the modules that own the state, and emits their
-// decisions as actions.
+// The decision engine of one node: passes each event to the functions that update the DecisionState, which
+// append their decisions as actions.
 //
 // The weighted draw is the normal path (9.1 and 9.2 of draft-rosenberg-dispatch-cloudsip): a new connection
 // goes to a ready endpoint, selected at random in proportion to 100 minus its utilisation in per cent. Health
--- a/src/decision/locality_preference.cpp
+++ b/src/decision/locality_preference.cpp
@@ -7,12 +7,13 @@
 namespace ivyreel {
 namespace {
 
-// Load over capacity of the own zone up to which the preference is full.
+// Load over capacity of the own zone up to which other zones get their minimum weight, unless the transition
+// range is narrower or at its minimum.
 constexpr double kFullPreferenceBelow = 0.65;
-// Minimum range below the saturation threshold in which the preference fades, in load over capacity. It
-// applies where the threshold is low.
+// Minimum width of the transition range, the range below the saturation threshold in which the weight of
+// other zones rises to 1, in load over capacity. It applies where the threshold is low.
 constexpr double kMinTransitionRange = 0.05;
-// Cross-zone cost above which the range is narrower, in inverse proportion to the cost.
+// Cross-zone cost above which the transition range is narrower, in inverse proportion to the cost.
 constexpr double kHighCrossZoneCost = 0.03;
 constexpr double kHalvingCrossZoneCost = 0.005;  // cost that halves the weight of other zones' endpoints
 
--- a/src/decision/request.hpp
+++ b/src/decision/request.hpp
@@ -11,14 +11,15 @@
 namespace ivyreel {
 
 // Invariants: at most one of attemptOutstanding and connected is true; target and sentAt belong to the latest
-// attempt and are undefined before the first.
+// attempt and are zero before the first. A resumed connection counts as the first attempt, but only the id of
+// its target is known: the rest of target, sentAt and clientTimeoutAt are zero.
 struct Request {
     RequestArrived arrival;
     RequestClassSettings requestClass;  // as of the arrival
     int maxAttempts = 0;                // as of the arrival
     Time arrivedAt{0};
-    Time clientTimeoutAt{0};
-    double load = 0.0;  // microseconds of work a second: expected, later measured
+    Time clientTimeoutAt{0};  // the client stops waiting for an answer
+    double load = 0.0;        // microseconds of work a second: expected, later measured
     std::uint64_t randomNumber = 0;
     // Attempts.
     int attempts = 0;
--- a/src/decision/request_placement.cpp
+++ b/src/decision/request_placement.cpp
@@ -32,8 +32,9 @@
     recordLoadPoll(request, endpoint, eventContext.now);
 }
 
-// Keeps the request waiting while an endpoint may become usable again or get spare capacity. Rejects it, if
-// it may be rejected, before its latency objective has passed.
+// Gives the final answer if the request may not be sent again, or if it may be rejected and has waited for
+// kMaxWaitShare of its latency objective. Otherwise the request stays in the table, waiting for a load report
+// or for an endpoint that is usable and has spare capacity.
 void finishUnlessWaiting(DecisionState& state, RequestId id, Request& request, EventContext eventContext) {
     const Micros maxWait = scaled(request.requestClass.latencyObjective, kMaxWaitShare);
     const bool maxWaitReached = eventContext.now >= request.arrivedAt + maxWait;
@@ -48,9 +49,10 @@
     request.sentAt = eventContext.now;
     request.attemptOutstanding = true;
     ++request.attempts;
-    // Departure, a new node: a client that reconnects to a node which started without inherited connections
-    // had its connection at another node before, so its load is not new to the fleet. This prevents a node
-    // that takes over the clients of a stopping node from estimating all endpoints as full.
+    // Departure, a new node: in a small fleet, a client that reconnects to a node which has just started
+    // without inherited connections had its connection at another node before, so its load is not new to the
+    // fleet. This prevents a node that takes over the clients of a stopping node from estimating all
+    // endpoints as full.
     const bool fromAnotherNode =
         request.arrival.reconnecting && eventContext.now < state.reconnectsAreExistingLoadUntil;
     const RecentSend send{id, eventContext.now, request.load, fromAnotherNode};
--- a/src/decision/request_placement.hpp
+++ b/src/decision/request_placement.hpp
@@ -10,8 +10,10 @@
 
 // Which of the waiting requests are placed again.
 enum class RetryScope {
-    AllExceptAwaitingReport,  // an endpoint may be usable again, or have spare capacity
-    PollResolved,             // only those whose awaited load report has arrived, or can no longer arrive
+    // All but those that still await a load report. Used when an endpoint may be usable again, or have spare
+    // capacity.
+    AllExceptAwaitingReport,
+    PollResolved,  // only those whose awaited load report has arrived, or can no longer arrive
 };
 
 // Starts an attempt, keeps the request waiting, or gives its final answer. The final answer erases the
@@ -22,7 +24,8 @@
 // Gives the final answer to unconnected requests whose final-answer deadline has passed.
 void finishExpiredRequests(DecisionState& state, EventContext eventContext);
 // Gives the final answer of this node and erases the request: a rejection if the request may be rejected, a
-// failure otherwise. Cancels an outstanding attempt. No other function gives final answers.
+// failure otherwise. Cancels an outstanding attempt if the settings allow that. Erasing the request
+// invalidates the reference. No other function gives final answers.
 void finishRequest(DecisionState& state, RequestId id, const Request& request, EventContext eventContext);
 // Sets the request timer if it is needed and not set.
 void setRequestTimer(DecisionState& state, EventContext eventContext);
--- a/src/decision/request_table.hpp
+++ b/src/decision/request_table.hpp
@@ -28,6 +28,8 @@
 
   private:
     std::map<RequestId, Request> requests_;
+    // The ids of the requests whose `connected` is false, with or without an attempt outstanding. The caller
+    // keeps both in agreement.
     std::set<RequestId> unconnected_;
 };
 
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -16,7 +16,9 @@
 // arrival and the present settings.
 bool areAttemptsExhausted(const Request& request, const RequestLimits& limits);
 
-// Whether any endpoint may get the request.
+// Whether the request may be sent at all, for the first time or again: it cannot have executed, is
+// idempotent, or has a deduplication window that stays open for more than one request timer interval. Checks
+// neither the attempt limit nor the endpoints.
 bool mayBeSent(const Request& request, const Settings& settings, Time now);
 // Whether this endpoint may get the request.
 bool maySendTo(const Request& request, const Endpoint& endpoint, const Settings& settings, Time now);
@@ -27,13 +29,15 @@
 // Whether an attempt with this outcome may have executed the request.
 bool isExecutionPossible(Outcome outcome);
 
-// The time before which attempts may start, and at which the final answer is due.
+// The time before which attempts may start, and at which the final answer is due. It is earlier than the
+// client's timeout by one request timer interval and the event resolution.
 Time finalAnswerDeadline(const Request& request, const Settings& settings);
 
 // The timeout of an attempt that starts now and is already counted in the request's attempts: half of the
-// time left until the latency objective, so that another attempt fits, or until the deadline once the
-// objective has passed. It is no less than connection setup usually takes, and ends no later than the
-// deadline. The last attempt, and one of a request that is not idempotent, has until the deadline.
+// time left until the latency objective, so that another attempt fits. Once the objective has passed, it is
+// half of the time left until the client's timeout. It is no less than connectTimeout and three times the
+// mean setup time, and ends no later than the client's timeout. The last attempt, and one of a request that
+// is neither idempotent nor has a key, has until the client's timeout.
 Micros attemptTimeout(const Request& request, const RequestLimits& limits, double meanSetupMicros, Time now);
 
 }  // namespace ivyreel
--- a/src/decision/saturation_threshold.cpp
+++ b/src/decision/saturation_threshold.cpp
@@ -9,12 +9,12 @@
 using namespace std::chrono_literals;
 
 // Load over capacity, except for the last constant.
-constexpr double kInitial = 0.75;
-constexpr double kMin = 0.6;                    // a lower threshold would waste a third of the fleet
-constexpr double kMax = 0.9;                    // reports lag behind the load by one fluctuation or more
-constexpr double kRelevantDistance = 0.1;       // loads further away carry no information on the threshold
-constexpr double kStepDown = 0.01;              // for a report with late messages
-constexpr double kStepUp = 0.001;               // for one without: stable with one late report in eleven
+constexpr double kInitial = 0.75;          // with affinity groups
+constexpr double kMin = 0.6;               // a lower threshold would waste a third of the fleet
+constexpr double kMax = 0.9;               // reports lag behind the load by one fluctuation or more
+constexpr double kRelevantDistance = 0.1;  // loads further away carry no information on the threshold
+constexpr double kStepDown = 0.01;         // for a report with late messages
+constexpr double kStepUp = 0.001;  // for a report without; one late report in eleven balances the steps
 constexpr double kAvailabilityDiscount = 0.25;  // times availabilityWeight: a few late messages cost much
 constexpr Micros kLateMessageMemory = 1700ms;   // a health check interval plus the lag of a report
 
@@ -22,8 +22,8 @@
 
 SaturationThreshold::SaturationThreshold(const Settings& settings) : value_(initial(settings)) {}
 
-// With affinity groups, endpoints accept members up to the threshold plus the tolerance, so the threshold
-// starts lower by the tolerance.
+// With affinity groups, endpoints may get members up to the threshold plus the tolerance. Without groups, the
+// threshold itself starts higher by the tolerance.
 double SaturationThreshold::initial(const Settings& settings) {
     const double tolerance = settings.groupAffinity ? 0.0 : kTolerance;
     return kInitial + tolerance - kAvailabilityDiscount * settings.availabilityWeight;
--- a/src/decision/saturation_threshold.hpp
+++ b/src/decision/saturation_threshold.hpp
@@ -13,8 +13,8 @@
     explicit SaturationThreshold(const Settings& settings);
 
     double value() const { return value_; }
-    // The limit up to which an endpoint accepts further members of an affinity group. Above it, connections
-    // are migrated.
+    // The load over capacity up to which this node, on a busy fleet, sends members of an affinity group to an
+    // endpoint that has members already. Above it, connections are migrated, with or without a group.
     double withTolerance() const { return value_ + kTolerance; }
 
     // Departure, the learned threshold: the load over capacity at which messages begin to be late differs
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -12,12 +12,13 @@
 namespace ivyreel {
 namespace {
 
-constexpr double kBudgetShare = 0.8;  // used part of the stated budget: endpoints of one kind differ in size
-// Used part of the capacity that loads and listed sizes suggest, because speeds differ twofold.
+// Part of the configured budget (overloadMultiple) that is allocated: endpoints of one kind differ in size.
+constexpr double kBudgetShare = 0.8;
+// Used part of the capacity that loads and listed sizes suggest: the speeds of endpoints differ twofold.
 constexpr double kCapacityEstimateShare = 0.5;
-// One of the next two requests still takes the slot.
+// Keeps the adjusted weight finite; one of the next two requests still takes the slot.
 constexpr double kMaxSelectionProbability = 0.99;
-constexpr double kOpenSlotDeviations = 2.0;  // standard deviations of a count of independent senders
+constexpr double kOpenSlotDeviations = 2.0;  // standard deviations of a Poisson count of attempts
 
 // The distance between the slot positions of nodes with adjacent indices, about a golden section of the
 // round: such nodes may be in the same zone, which would otherwise get its slots all at once.
@@ -59,15 +60,16 @@
 }
 
 // Departure, slow start: the connections that an endpoint may get while it is warming up are allocated to the
-// nodes as slots, round-robin. Every node computes the same allocation from the endpoint's start and the
-// settings. This prevents the attempts of all nodes from coinciding at the endpoint, whatever share each node
-// computes for itself and whatever causes an attempt. The number of slots that are open at the same time is
-// two standard deviations of a count of independent senders, plus one. No overload window therefore has more
-// attempts than its budget plus that number, whichever nodes send them.
+// nodes as slots, round-robin, in an order that every node computes alike. This prevents the attempts of all
+// nodes from coinciding at the endpoint, whatever share each node computes for itself and whatever causes an
+// attempt. The number of slots that are open at the same time is at most two standard deviations of a Poisson
+// count, whose mean is the number of slots per overload window, plus one. If the nodes estimate the same
+// number of slots, no overload window has more attempts than its slots plus that number, whichever nodes
+// send them.
 SlowStartSlots SlowStart::slots(const Endpoint& endpoint) const {
     const Settings& settings = context_.settings;
     const OperatingLimits& limits = settings.operatingLimits;
-    // Connections over the whole slow start, if the endpoint had its full capacity throughout.
+    // Slots of the whole slow start, if the endpoint had its full capacity throughout.
     const double totalAtFullCapacity =
         kBudgetShare * limits.overloadMultiple * connectionsAtCapacity(endpoint);
     const auto dueUntil = [&](double progress) {
@@ -82,6 +84,7 @@
     result.maxOpen = kOpenSlotDeviations * std::sqrt(perWindow) + 1.0;
     const double dueNow = dueUntil(warmUpProgress(endpoint, limits, context_.now));
     const double used = dueUntil(warmUpProgress(endpoint, limits, endpoint.slowStartSlotsUsedUntil));
+    // Slots from the start of the warm-up that are used or no longer open.
     const double closedSlots = std::max(used, dueNow - result.maxOpen);
     result.openAtThisNode = std::floor((dueNow - position) / settings.nodes) -
                             std::floor((closedSlots - position) / settings.nodes);
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -2,8 +2,13 @@
 // may send them.
 //
 // The connections are allocated to the nodes as slots, round-robin. A slot stands for one connection of the
-// typical load. All nodes compute the same allocation from the endpoint's id and start time and the settings,
-// without communicating with each other.
+// typical load. Without communicating, all nodes compute the same round-robin order from the endpoint's id
+// and the index of the node. A node without an index takes a position that depends on its seed. The number
+// of slots that are due follows the endpoint's start time and estimates that each node learns itself, so it
+// is only approximately the same at all nodes.
+//
+// A slot becomes due at its time during the warm-up, is open from then until `maxOpen` later slots are due,
+// and is used when its node starts an attempt at the endpoint. An attempt uses all open slots of the node.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +26,8 @@
 
 struct SlowStartSlots {
     double perSecond = 0.0;       // slots that become due a second at present, of all nodes together
-    double maxOpen = 0.0;         // slots that are open at the same time, of all nodes together
-    double openAtThisNode = 0.0;  // open slots of this node
+    double maxOpen = 0.0;         // most slots that are open at the same time, of all nodes together
+    double openAtThisNode = 0.0;  // slots of this node that are open and not used
 };
 
 // Refers to the arguments of its constructor, which must outlive it.
@@ -36,9 +41,10 @@
     // The slots at an endpoint that is warming up.
     SlowStartSlots slots(const Endpoint& endpoint) const;
 
-    // Whether this node may send the request to an endpoint that is warming up. A request above the typical
-    // load needs several slots. If fewer are open at this node, it is admitted with the probability of open
-    // slots over needed slots; if it needs more than the slots open at all nodes plus one, never.
+    // Whether this node may send the request to an endpoint that is warming up. A request whose load hint
+    // exceeds the typical load needs load hint / typical load slots. If fewer are open at this node, the
+    // request is admitted with the probability open slots / needed slots. A request that needs more than
+    // maxOpen + 1 slots is not admitted.
     bool admits(const Request& request, const Endpoint& endpoint) const;
 
     // Raises the weights of endpoints that are warming up. Only nodes with an open slot can select such an
--- a/src/decision/weighted_selection.cpp
+++ b/src/decision/weighted_selection.cpp
@@ -19,7 +19,8 @@
 
 // Departure, selection by group: where each endpoint that serves any member of a group does extra work for
 // the group, the random number is derived from the group and the endpoint instead of the request, so that the
-// members select the same endpoint. This prevents each group from being spread over the fleet.
+// members select the same endpoint. This prevents each group from being spread over the fleet. In Passthrough
+// mode the random number of any other request is derived from its flow key, if it has one.
 std::uint64_t selectionKey(const Request& request, const Settings& settings) {
     if (hasAffinity(request, settings)) return static_cast<std::uint64_t>(request.arrival.group);
     const bool flowMayReachAnyNode = settings.forwardingMode == ForwardingMode::Passthrough;
@@ -132,7 +133,8 @@
                                  ? kFullUtilisation
                                  : unused - utilisation_.added(endpoint, request.load, capacity);
         candidate.weight = candidate.locality * factor * spare;
-        // For a warmed-up endpoint that can be polled, the total assumes the estimated utilisation.
+        // A warmed-up endpoint that can be polled counts in the total with its estimated utilisation,
+        // without the load of this connection.
         const bool usesEstimatedUtilisation = candidate.canBePolled && !slowStart_.isWarmingUp(endpoint);
         set.totalWeight +=
             usesEstimatedUtilisation ? candidate.locality * factor * unused : std::max(0.0, candidate.weight);
@@ -140,10 +142,11 @@
 }
 
 // Departure, few endpoints for a group: on a busy fleet a group uses only the endpoints with the lowest
-// scores by locality alone, those where this node has members, and those that are warming up. The number of
-// the first follows the group's share of the arrivals at this node. This prevents nodes with different load
-// reports from scattering the groups over the fleet, where each endpoint does extra work for each group, so
-// that a busy fleet adds to its own load. A fleet with spare capacity gains more from an even distribution.
+// scores by locality alone, those where this node has connections of the group, and those that are warming
+// up. The number of endpoints by score is the same for all groups; it rises with the probability that two
+// arrivals at this node belong to the same group. This prevents nodes with different load reports from
+// scattering the groups over the fleet, where each endpoint does extra work for each group, so that a busy
+// fleet adds to its own load. A fleet with spare capacity gains more from an even distribution.
 void WeightedSelection::retainGroupEndpoints(CandidateSet& set) const {
     const std::ptrdiff_t kept = groups_.endpointsPerGroup(context_.endpoints.size());
     if (std::ssize(set.candidates) <= kept) return;
@@ -166,10 +169,12 @@
     return candidate.utilisation < kFullUtilisation * limit;
 }
 
-// Departure, load shedding: if no endpoint has spare capacity, none is selected. On a busy fleet, and for
-// affinity groups, only endpoints with spare capacity remain; those with members of the group are filled up
-// to a slightly higher limit. This prevents an overloaded fleet from admitting all requests and serving none
-// within the message latency objective. Returns whether no endpoint is to be selected.
+// Departure, load shedding: if no endpoint has spare capacity, a request that may be rejected is shed. On a
+// busy fleet, and for affinity groups, endpoints without spare capacity are removed from its candidates;
+// on a busy fleet, endpoints with connections of the group are filled up to a slightly higher limit. An
+// endpoint that can be polled counts as one with spare capacity. This prevents an overloaded fleet from
+// admitting all requests and serving none within the message latency objective. Returns whether the request
+// is to be shed.
 bool WeightedSelection::shedOverloaded(CandidateSet& set, const Request& request) const {
     if (!mayReject(request)) return false;
     const auto spare = [this](const Candidate& candidate) { return hasSpareCapacity(candidate); };
--- a/src/decision/weighted_selection.hpp
+++ b/src/decision/weighted_selection.hpp
@@ -4,8 +4,12 @@
 //
 // The selection uses weighted rendezvous hashing: the endpoint with the lowest score, -log(random) / weight,
 // is selected, which gives each endpoint a probability in proportion to its weight. The random number, 0 to
-// 1, is a hash of the endpoint and of the request or its affinity group. A request therefore selects the same
-// endpoint as long as the weights are the same.
+// 1, is a hash of the endpoint and of the affinity group, the flow key (in Passthrough mode) or the request's
+// own random number. A request therefore selects the same endpoint as long as the weights are the same.
+//
+// Two rules precede the score: on a busy fleet, endpoints where this node has more connections of the
+// request's affinity group come first, and an endpoint whose weight is not positive is selected only after
+// all others, with all such endpoints weighted alike.
 #pragma once
 
 #include <optional>
--- a/tests/decision/affinity_groups_test.cpp
+++ b/tests/decision/affinity_groups_test.cpp
@@ -117,7 +117,7 @@
     EXPECT_EQ(groups.endpointsPerGroup(100), 2);
 }
 
-TEST(AffinityGroups, EndpointCountFollowsGroupShareOfArrivals) {
+TEST(AffinityGroups, EndpointCountRisesWithProbabilityOfSameGroup) {
     AffinityGroups single;
     AffinityGroups five;
     for (std::uint64_t i = 0; i < 1000; ++i) {
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -42,12 +42,12 @@
     return result;
 }
 
-TEST(DecisionEngine, SameSeedGivesSameActionsAndSeedsDiffer) {
+TEST(DecisionEngine, SelectionIsTheSameForOneSeedAndDiffersBetweenSeeds) {
     EXPECT_EQ(selectedEndpoints(3), selectedEndpoints(3));
     EXPECT_NE(selectedEndpoints(3), selectedEndpoints(4));
 }
 
-TEST(DecisionEngine, SingleEndpointAndNodeServe) {
+TEST(DecisionEngine, RetryGoesToTheOnlyEndpointAgain) {
     Settings settings = defaultSettings();
     settings.nodes = 1;
     DecisionEngineDriver d = makeFleet(settings, 1, 0.5);
@@ -69,8 +69,8 @@
     const std::uint64_t reportingEndpoint = d.target(request);
     for (int i = 0; i < 20; ++i) {
         const RequestId next = d.submitRequest();
-        // The other endpoint has no report and counts by the mean, which is full too, so both are
-        // treated alike.
+        // The other endpoint has no report and is assumed to have the mean utilisation, 100 per cent too,
+        // so neither has spare capacity.
         d.deliver(ClientDisconnected{next});
     }
     d.deliver(AttemptEnded{RequestId{999}, AttemptIndex{0}, EndpointId{3 - reportingEndpoint}, Outcome::Ok,
--- a/tests/decision/locality_preference_test.cpp
+++ b/tests/decision/locality_preference_test.cpp
@@ -25,7 +25,7 @@
     return own / 4000.0;
 }
 
-TEST(LocalityPreference, PrefersOwnZoneAndSpillsOverWhenFull) {
+TEST(LocalityPreference, PrefersOwnZoneAndSpillsOverNearSaturationThreshold) {
     EXPECT_GT(localZoneShare(0.3), 0.7);
     EXPECT_LT(localZoneShare(0.3), 0.85) << "other zones have to keep a share";
     EXPECT_NEAR(localZoneShare(0.84), 0.5, 0.05);
--- a/tests/decision/simulated_fleet.hpp
+++ b/tests/decision/simulated_fleet.hpp
@@ -21,8 +21,8 @@
     return Micros{static_cast<Micros::rep>(seconds * kMicrosPerSecond)};
 }
 
-// The random numbers of one event sequence. All its generators draw from one source, and the digests depend
-// on the order in which they draw.
+// The random numbers of one event sequence. All its generators draw from one source, and the digests of
+// all decisions (generated_events.hpp) depend on the order in which they draw.
 class RandomSource {
   public:
     explicit RandomSource(std::uint64_t seed) : random_(seed) {}
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -65,8 +65,10 @@
     return settings;
 }
 
-// The attempts that 100 nodes start within 2 s at a new endpoint whose budget is about 7 in a window, beside
-// 19 others at 0.5. Each node has 10 connections: 1,000 on 20 endpoints at 0.5, so 100 fill an endpoint.
+// The attempts that 100 nodes start at a new endpoint beside 19 others, whose load over capacity is
+// `otherEndpointsLoad`. From 1 s after the endpoint's start, each node submits `requestsPerNode` requests at
+// intervals of `gap`. Each node has 10 connections: about 1,000 on 20 endpoints at 0.5, so 100 fill an
+// endpoint.
 int attemptsToNewEndpoint(int requestsPerNode, Micros gap, std::uint64_t seed,
                           double otherEndpointsLoad = 0.5) {
     int sent = 0;
@@ -201,11 +203,12 @@
     return d;
 }
 
-TEST(SlowStart, RequestAboveBudgetWaitsUntilEndpointIsWarmer) {
+TEST(SlowStart, RequestThatNeedsTooManySlotsIsAnsweredWithoutAttempt) {
     Settings settings = defaultSettings();
     settings.nodes = 1;
     DecisionEngineDriver d = fleetOfOneNewEndpoint(settings);
-    // The smallest expected endpoint has two cores, a capacity of 2e6.
+    // 5e6 needs more slots than can be open at this endpoint, and is more than the capacity of 2e6 of the
+    // smallest expected endpoint, which has two cores.
     const RequestId heavy = d.submitRequestWithLoad(5e6);
     d.advance(1s);
     EXPECT_EQ(d.attempts(heavy), 0);
--- a/tests/decision/weighted_selection_test.cpp
+++ b/tests/decision/weighted_selection_test.cpp
@@ -36,12 +36,12 @@
     EXPECT_NEAR(share.at(3), 90.0 / 165, kTolerance);
 }
 
-TEST(WeightedSelection, BusyEndpointKeepsSmallShare) {
+TEST(WeightedSelection, EndpointAboveSaturationThresholdKeepsSmallShare) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), {0.30, 0.90, 0.30});
     EXPECT_NEAR(shares(d, kRequests).at(2), 10.0 / 150, kTolerance);
 }
 
-TEST(WeightedSelection, FullEndpointGetsNoRequests) {
+TEST(WeightedSelection, EndpointAboveCapacityGetsNoRequests) {
     DecisionEngineDriver d = makeFleet(defaultSettings(), {0.50, 1.40});
     EXPECT_EQ(shares(d, 500).count(2), 0U);
 }
@@ -190,7 +190,7 @@
     }
 }
 
-TEST(WeightedSelection, FullEndpointsGetOnlyRequestsThatMayNotBeRejected) {
+TEST(WeightedSelection, EndpointsAboveCapacityGetOnlyRequestsThatMayNotBeRejected) {
     SelectionFixture f;
     for (const std::uint64_t id : {1U, 2U, 3U})
         f.report(id, 1.5);
