--- a/src/decision/request_placement.cpp
+++ b/src/decision/request_placement.cpp
@@ -77,6 +77,7 @@
         return finishRequest(state, id, request, eventContext);
     if (eventContext.now >= finalAnswerDeadline(request, state.settings))
         return finishRequest(state, id, request, eventContext);
+    // The snapshot is the one that was computed last; the selection below refreshes it.
     const bool fleetBusy = isFleetBusy(state.fleet.snapshot(), state.saturationThreshold);
     if (state.admission.shouldShed(request, state.settings, fleetBusy))
         return finishRequest(state, id, request, eventContext);
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -274,7 +274,7 @@
 }
 
 // The timeout of an attempt that starts `elapsed` after the arrival. The latency objective is 800 ms, the
-// deadline 3 s.
+// client timeout 3 s.
 Micros timeoutAfter(Micros elapsed, int attempts = 1, double meanSetupMicros = 0.0,
                     Idempotency idempotency = Idempotency::Idempotent) {
     Request request;
@@ -293,16 +293,17 @@
 TEST(RetryPolicy, AttemptTimeoutIsHalfOfRemainingTime) {
     EXPECT_EQ(timeoutAfter(0ms), 400ms);
     EXPECT_EQ(timeoutAfter(600ms), 250ms) << "no less than the connect timeout";
-    EXPECT_EQ(timeoutAfter(1s), 1s) << "half of the time until the deadline, as the objective has passed";
+    EXPECT_EQ(timeoutAfter(1s), 1s)
+        << "half of the time until the client timeout, as the objective has passed";
     EXPECT_EQ(timeoutAfter(0ms, 1, 200'000), 600ms) << "no less than three times the usual setup time";
 }
 
-TEST(RetryPolicy, AttemptTimeoutNeverExceedsDeadline) {
+TEST(RetryPolicy, AttemptTimeoutNeverExceedsClientTimeout) {
     EXPECT_EQ(timeoutAfter(2900ms), 100ms);
     EXPECT_EQ(timeoutAfter(0ms, 1, 1e9), 3s);
 }
 
-TEST(RetryPolicy, LastAttemptTimeoutExtendsToDeadline) {
+TEST(RetryPolicy, LastAttemptTimeoutExtendsToClientTimeout) {
     EXPECT_EQ(timeoutAfter(0ms, 4), 3s);
     EXPECT_EQ(timeoutAfter(0ms, 1, 0.0, Idempotency::NonIdempotent), 3s);
 }
