--- a/src/decision/request_placement.cpp
+++ b/src/decision/request_placement.cpp
@@ -32,12 +32,13 @@
     recordLoadPoll(request, endpoint, eventContext.now);
 }
 
-// Keeps the request waiting while an endpoint may become usable again or get spare capacity. Rejects it, if
-// it may be rejected, before its latency objective has passed.
-void waitOrFinish(DecisionState& state, RequestId id, Request& request, EventContext eventContext) {
+// Gives the final answer if the request may not be sent again, or if it may be rejected and has waited for
+// kMaxWaitShare of its latency objective. Otherwise the request stays in the table, waiting for a load report
+// or for an endpoint that is usable and has spare capacity.
+void finishUnlessWaiting(DecisionState& state, RequestId id, Request& request, EventContext eventContext) {
     const Micros maxWait = scaled(request.requestClass.latencyObjective, kMaxWaitShare);
     const bool maxWaitReached = eventContext.now >= request.arrivedAt + maxWait;
-    const bool retryImpossible = !mayRetry(request, state.settings, eventContext.now);
+    const bool retryImpossible = !mayBeSent(request, state.settings, eventContext.now);
     if (retryImpossible || (maxWaitReached && mayReject(request)))
         finishRequest(state, id, request, eventContext);
 }
@@ -48,10 +49,12 @@
     request.sentAt = eventContext.now;
     request.attemptOutstanding = true;
     ++request.attempts;
-    // Departure, a new node: a client that reconnects to a node which started without inherited connections
-    // had its connection at another node before, so its load is not new to the fleet. This prevents a node
-    // that takes over the clients of a stopping node from estimating all endpoints as full.
-    const bool fromAnotherNode = request.arrival.reconnecting && eventContext.now < state.newNodeUntil;
+    // Departure, a new node: in a small fleet, a client that reconnects to a node which has just started
+    // without inherited connections had its connection at another node before, so its load is not new to the
+    // fleet. This prevents a node that takes over the clients of a stopping node from estimating all
+    // endpoints as full.
+    const bool fromAnotherNode =
+        request.arrival.reconnecting && eventContext.now < state.reconnectsAreExistingLoadUntil;
     const RecentSend send{id, eventContext.now, request.load, fromAnotherNode};
     endpoint.recentSends.push_back(send);
     state.fleet.recordSend(send);
@@ -74,15 +77,16 @@
         return finishRequest(state, id, request, eventContext);
     if (eventContext.now >= finalAnswerDeadline(request, state.settings))
         return finishRequest(state, id, request, eventContext);
+    // The snapshot is the one that was computed last; the selection below refreshes it.
     const bool fleetBusy = isFleetBusy(state.fleet.snapshot(), state.saturationThreshold);
     if (state.admission.shouldShed(request, state.settings, fleetBusy))
         return finishRequest(state, id, request, eventContext);
     const std::optional<Selection> selection = select(state, request, eventContext.now);
     request.waitsForReport = selection && selection->pollFirst;
-    if (!selection) return waitOrFinish(state, id, request, eventContext);
+    if (!selection) return finishUnlessWaiting(state, id, request, eventContext);
     if (selection->pollFirst) {
         pollLoad(state, request, selection->endpoint, eventContext);
-        return waitOrFinish(state, id, request, eventContext);
+        return finishUnlessWaiting(state, id, request, eventContext);
     }
     startAttempt(state, id, request, *state.endpoints.find(selection->endpoint), eventContext);
 }
@@ -92,7 +96,7 @@
         Request& request = *state.requests.find(id);
         if (request.attemptOutstanding) continue;
         const bool retry = request.waitsForReport ? !isReportAwaited(state, request, eventContext.now)
-                                                  : scope == RetryScope::All;
+                                                  : scope == RetryScope::AllExceptAwaitingReport;
         if (retry) placeRequest(state, id, request, eventContext);
     }
 }
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -202,11 +202,11 @@
 
 TEST(RetryPolicy, OnlySomeOutcomesRuleOutExecution) {
     for (const Outcome outcome : {Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent}) {
-        EXPECT_FALSE(mayHaveExecuted(outcome));
+        EXPECT_FALSE(isExecutionPossible(outcome));
     }
     for (const Outcome outcome :
          {Outcome::Ok, Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled}) {
-        EXPECT_TRUE(mayHaveExecuted(outcome));
+        EXPECT_TRUE(isExecutionPossible(outcome));
     }
 }
 
@@ -229,16 +229,16 @@
     const Settings settings = defaultSettings();
     const Request request = executedRequest(Idempotency::WithKey);
     const Time end = kNow + 1s - 20ms;
-    EXPECT_TRUE(mayRetry(request, settings, end - 1us));
-    EXPECT_FALSE(mayRetry(request, settings, end));
-    EXPECT_TRUE(mayRetry(executedRequest(Idempotency::Idempotent), settings, end));
-    EXPECT_FALSE(mayRetry(executedRequest(Idempotency::NonIdempotent), settings, kNow));
+    EXPECT_TRUE(mayBeSent(request, settings, end - 1us));
+    EXPECT_FALSE(mayBeSent(request, settings, end));
+    EXPECT_TRUE(mayBeSent(executedRequest(Idempotency::Idempotent), settings, end));
+    EXPECT_FALSE(mayBeSent(executedRequest(Idempotency::NonIdempotent), settings, kNow));
 }
 
 TEST(RetryPolicy, UnexecutedRequestIsNotRestricted) {
     Request request = executedRequest(Idempotency::NonIdempotent, DeduplicationScope::Cell);
     request.mayHaveExecuted = false;
-    EXPECT_TRUE(mayRetry(request, defaultSettings(), kNow + 3600s));
+    EXPECT_TRUE(mayBeSent(request, defaultSettings(), kNow + 3600s));
     EXPECT_TRUE(maySendTo(request, endpointIn(7, 7), defaultSettings(), kNow + 3600s));
 }
 
@@ -269,19 +269,19 @@
     Settings settings = defaultSettings();
     settings.eventResolution = 50ms;
     Request request;
-    request.deadline = kNow;
+    request.clientTimeoutAt = kNow;
     EXPECT_EQ(finalAnswerDeadline(request, settings), kNow - 100ms);
 }
 
 // The timeout of an attempt that starts `elapsed` after the arrival. The latency objective is 800 ms, the
-// deadline 3 s.
+// client timeout 3 s.
 Micros timeoutAfter(Micros elapsed, int attempts = 1, double meanSetupMicros = 0.0,
                     Idempotency idempotency = Idempotency::Idempotent) {
     Request request;
     request.requestClass.idempotency = idempotency;
     request.requestClass.latencyObjective = 800ms;
     request.arrivedAt = kNow;
-    request.deadline = kNow + 3s;
+    request.clientTimeoutAt = kNow + 3s;
     request.maxAttempts = 4;
     request.attempts = attempts;
     RequestLimits limits;
@@ -293,16 +293,17 @@
 TEST(RetryPolicy, AttemptTimeoutIsHalfOfRemainingTime) {
     EXPECT_EQ(timeoutAfter(0ms), 400ms);
     EXPECT_EQ(timeoutAfter(600ms), 250ms) << "no less than the connect timeout";
-    EXPECT_EQ(timeoutAfter(1s), 1s) << "half of the time until the deadline, as the objective has passed";
+    EXPECT_EQ(timeoutAfter(1s), 1s)
+        << "half of the time until the client timeout, as the objective has passed";
     EXPECT_EQ(timeoutAfter(0ms, 1, 200'000), 600ms) << "no less than three times the usual setup time";
 }
 
-TEST(RetryPolicy, AttemptTimeoutNeverExceedsDeadline) {
+TEST(RetryPolicy, AttemptTimeoutNeverExceedsClientTimeout) {
     EXPECT_EQ(timeoutAfter(2900ms), 100ms);
     EXPECT_EQ(timeoutAfter(0ms, 1, 1e9), 3s);
 }
 
-TEST(RetryPolicy, LastAttemptTimeoutExtendsToDeadline) {
+TEST(RetryPolicy, LastAttemptTimeoutExtendsToClientTimeout) {
     EXPECT_EQ(timeoutAfter(0ms, 4), 3s);
     EXPECT_EQ(timeoutAfter(0ms, 1, 0.0, Idempotency::NonIdempotent), 3s);
 }
