--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -175,7 +175,7 @@
     config.text = text;
     // Discovery does not open connections to the node to push the list: without polling, the watch would
     // neither begin nor begin again after its connection fails.
-    config.listPushed = config.settings.settings.discoveryMode == DiscoveryMode::Push;
+    config.pushModeConfigured = config.settings.settings.discoveryMode == DiscoveryMode::Push;
     config.settings.settings.discoveryMode = DiscoveryMode::Poll;
     return config;
 }
--- a/src/config/node_config.hpp
+++ b/src/config/node_config.hpp
@@ -20,8 +20,9 @@
     std::size_t descriptorLimit = 0;      // limit of open descriptors; 0: no limit is configured
     MembershipUpdate knownEndpoints;      // the last known endpoint list
     NodeSettings settings;
-    bool listPushed = false;  // the settings say "push"; the node polls the endpoint list nevertheless
-    std::string text;         // of the configuration file
+    bool pushModeConfigured =
+        false;         // the settings say "push"; the node polls the endpoint list nevertheless
+    std::string text;  // of the configuration file
 };
 
 // At startup the environment overrides the file. At a reload the discovery address in the file overrides the
--- a/src/io/scheduler.hpp
+++ b/src/io/scheduler.hpp
@@ -59,7 +59,7 @@
     // Stops watching a descriptor that stays open in this process or in another one.
     void unwatch(int descriptor);
     // Decrements the count of watched descriptors after one was closed, which ends its watch.
-    void forgetDescriptor() { --descriptors_; }
+    void onWatchedDescriptorClosed() { --descriptors_; }
 
     // The number of watched descriptors, and the number of spawned coroutines that have not ended.
     std::size_t watchedDescriptorCount() const { return descriptors_; }
--- a/src/io/socket.cpp
+++ b/src/io/socket.cpp
@@ -147,7 +147,7 @@
 void Socket::close() {
     if (descriptor_ < 0) return;
     ::close(std::exchange(descriptor_, -1));
-    scheduler_->forgetDescriptor();
+    scheduler_->onWatchedDescriptorClosed();
 }
 
 bool Connection::receive() {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -64,7 +64,7 @@
     if (predecessor) {
         spdlog::info("hot restart: taking over from the predecessor");
         scheduler_.spawn(takeOver(predecessor->takeLink()));
-    } else if (config_.listPushed) {
+    } else if (config_.pushModeConfigured) {
         scheduler_.spawn(serveAfterPushedList());
     } else {
         startServing();
@@ -166,7 +166,7 @@
     const Settings& settings = config_.settings.settings;
     const Micros drainGracePeriod = settings.operatingLimits.drainGracePeriod;
     watcher_.setNodeCount(settings.nodes);
-    watcher_.setPushDeadline(config_.listPushed ? std::optional(drainGracePeriod) : std::nullopt);
+    watcher_.setPushDeadline(config_.pushModeConfigured ? std::optional(drainGracePeriod) : std::nullopt);
 }
 
 // Applies the whole configuration file; if the file is invalid, the current configuration stays in effect.
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -292,7 +292,7 @@
 
 // Guards against assigning the descriptors of a malformed transfer to the next transfer: they stay on the
 // link unless the node takes them before it parses the message.
-TEST(HotRestart, MalformedTransferDoesNotTakeTheDescriptorsOfTheNext) {
+TEST(HotRestart, NextTransferDoesNotGetTheDescriptorsOfAMalformedOne) {
     SharedDirectory directory;
     FakePredecessor predecessor{directory};
     NodeProcess::Options options;
@@ -320,7 +320,7 @@
     EXPECT_EQ(node.counter("adopted"), 1);
 }
 
-TEST(HotRestart, StartsWithoutAHandoverIfThereIsNoUsablePredecessor) {
+TEST(HotRestart, StartsWithoutAPredecessorAndHandsOverThroughALongDirectoryPath) {
     SharedDirectory directory;
     StubServer server;
     {
--- a/tests/node_process.hpp
+++ b/tests/node_process.hpp
@@ -28,7 +28,7 @@
   public:
     struct Options {
         std::string idempotency = "free";
-        int clientTimeoutMs = 20'000;
+        int requestTimeoutMs = 20'000;
         int latencyObjectiveMs = 20'000;
         int descriptorLimit = 500;       // limits.sockets of the configuration
         int processDescriptorLimit = 0;  // RLIMIT_NOFILE of the node; 0: the limit of the test process
@@ -36,7 +36,7 @@
         std::string discovery = "127.0.0.1:1";
         std::string discoveryEnvironmentVariable;  // value of RELAY_DISCOVERY; empty: not set
         bool adminServer = false;                  // whether the node has an admin server
-        int attempts = 4;
+        int maxAttempts = 4;
         std::string directory;  // TMPDIR, which has the handover socket file; empty: no hot restart
         std::vector<std::string> classes = {"chat"};
         std::string discoveryMode = "ask";
@@ -182,7 +182,7 @@
         for (const std::string& name : o.classes) {
             if (!classes.empty()) classes += ",";
             classes += R"({"name":")" + name + R"(","repeat":")" + o.idempotency + R"(","aim":)" +
-                       micros(o.latencyObjectiveMs) + R"(,"giveUp":)" + micros(o.clientTimeoutMs) + "}";
+                       micros(o.latencyObjectiveMs) + R"(,"giveUp":)" + micros(o.requestTimeoutMs) + "}";
         }
         return std::string(o.adminServer ? R"({"console":"127.0.0.1:0",)" : "{") +
                R"("name":"n0","listen":"127.0.0.1:0","discovery":")" + o.discovery +
@@ -191,7 +191,7 @@
                R"(]},"settings":{"instances":1,"registryMode":")" + o.discoveryMode +
                R"(","failureDomains":["a"],"kinds":["m1"],
                "bounds":{"attemptsCap":)" +
-               std::to_string(o.attempts) + R"(,"cancel":true,"probes":)" +
+               std::to_string(o.maxAttempts) + R"(,"cancel":true,"probes":)" +
                (o.healthChecks ? "true" : "false") +
                R"(,"retryAfter":true,
                "maxRetryAfter":1000000,"connectTimeout":5000000},
--- a/tests/node_shutdown_test.cpp
+++ b/tests/node_shutdown_test.cpp
@@ -38,7 +38,7 @@
 TEST(NodeShutdown, FailsPendingRequestsBeforeItIsKilled) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
-    options.clientTimeoutMs = 1000;  // of the request class; the client's own timeout is longer
+    options.requestTimeoutMs = 1000;  // of the request class; the client's own timeout is longer
     NodeProcess node{options};
     TestConnection client = node.client("OPEN 9b1f 7f3a c=chat,d=60000\r\n");
     const auto opened = server.nextOpened();
@@ -52,7 +52,7 @@
 TEST(NodeShutdown, MigratesConnectionsAndFailsRequestsThatArriveAfterTheDrain) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
-    options.clientTimeoutMs = 1000;
+    options.requestTimeoutMs = 1000;
     NodeProcess node{options};
     node.signal(SIGTERM);
     node.awaitLogLine("drained");
@@ -66,7 +66,7 @@
 TEST(NodeShutdown, FailsConnectionsBeingResumedBeforeItIsKilled) {
     StubServer server;
     NodeProcess::Options options = optionsFor(server);
-    options.clientTimeoutMs = 1000;
+    options.requestTimeoutMs = 1000;
     NodeProcess node{options};
     TestConnection unlisted = node.client("OPEN 9b1f 7f3a c=chat,at=s-9\r\n");
     TestConnection unanswered = node.client("OPEN 9b20 7f3a c=chat,at=s-1\r\n");
