--- a/src/membership/call_policy.cpp
+++ b/src/membership/call_policy.cpp
@@ -56,7 +56,7 @@
 
 Retry CallPolicy::nextRetry(const CallEnd& end) {
     const bool stableWatch = end.watchAge >= kStableWatchAge;
-    if (stableWatch) consecutiveRejections_ = 0;
+    if (stableWatch) overloadBackoffCount_ = 0;
     if (pushDeadline_) return pushRetry(end);
     switch (end.failure) {
         case CallFailure::HeartbeatTimeout:
@@ -84,7 +84,7 @@
 
 // State that was recorded for the old address does not apply to the new one.
 Micros CallPolicy::delayAfterAddressChange() {
-    consecutiveRejections_ = 0;
+    overloadBackoffCount_ = 0;
     queueTimes_ = {};
     if (pushDeadline_) return Micros{0};
     return fleetJitter();
@@ -104,7 +104,7 @@
 Micros CallPolicy::hedgingDelay() const {
     if (pushDeadline_) return kPushHedgingDelay;
     const Micros likelyLostAfter = longestQueueTime() + kSchedulingMargin;
-    if (consecutiveRejections_ == 0) return likelyLostAfter;
+    if (overloadBackoffCount_ == 0) return likelyLostAfter;
     const Micros timeLeft = kPropagationDeadline - kSchedulingMargin - lastOverloadBackoff_;
     return std::max(likelyLostAfter, std::min(longestQueueTime() + longestQueueTime() / 2, timeLeft));
 }
@@ -125,8 +125,8 @@
 
 // Exponential backoff with full jitter. Each consecutive call doubles the upper bound, up to maxBackoff().
 Micros CallPolicy::overloadBackoff() {
-    const Micros window = kInitialBackoff * (1U << std::min(consecutiveRejections_, kMaxDoublings));
-    ++consecutiveRejections_;
+    const Micros window = kInitialBackoff * (1U << std::min(overloadBackoffCount_, kMaxDoublings));
+    ++overloadBackoffCount_;
     lastOverloadBackoff_ = randomDelay(std::min(window, maxBackoff()));
     return lastOverloadBackoff_;
 }
--- a/src/membership/call_policy.hpp
+++ b/src/membership/call_policy.hpp
@@ -85,7 +85,7 @@
     SplitMix64 random_;
     std::uint32_t nodeCount_ = 1;
     std::optional<Micros> pushDeadline_;
-    unsigned consecutiveRejections_ = 0;  // since the last stable watch
+    unsigned overloadBackoffCount_ = 0;  // since the last stable watch
     Micros lastOverloadBackoff_{0};
     std::array<Micros, kRecordedQueueTimes> queueTimes_{};
     std::size_t nextQueueTime_ = 0;
--- a/src/membership/drain_evidence.cpp
+++ b/src/membership/drain_evidence.cpp
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-std::size_t withholdingLimit(std::size_t readyEndpoints) {
-    if (readyEndpoints < 2) return 0;
-    return (readyEndpoints + kReadyPerWithheld - 1) / kReadyPerWithheld;
+std::size_t withholdingLimit(std::size_t usableEndpoints) {
+    if (usableEndpoints < 2) return 0;
+    return (usableEndpoints + kUsablePerWithheld - 1) / kUsablePerWithheld;
 }
 
 WithholdingChange DrainEvidence::handle(Time now, const DrainEvent& event) {
@@ -107,9 +107,9 @@
 }
 
 void DrainEvidence::recordUtilisation(Time now, EndpointId endpoint, const LoadReport& report) {
-    const std::optional<double> loadOverCapacity = utilisationOf(report);
-    if (!loadOverCapacity || !isListed(endpoint)) return;
-    endpoints_[endpoint].utilisation = Utilisation{*loadOverCapacity, now};
+    const std::optional<double> share = utilisationOf(report);
+    if (!share || !isListed(endpoint)) return;
+    endpoints_[endpoint].utilisation = Utilisation{*share, now};
 }
 
 // An endpoint of unknown utilisation may be full, so that its BUSY is not evidence of a drain.
@@ -117,7 +117,7 @@
     const std::optional<Utilisation>& utilisation = endpoints_.at(endpoint).utilisation;
     if (!utilisation) return true;
     if (now - utilisation->reportedAt > kUtilisationLifetime) return true;
-    return utilisation->loadOverCapacity > kFullUtilisationThreshold;
+    return utilisation->share > kFullUtilisationThreshold;
 }
 
 bool DrainEvidence::isListed(EndpointId endpoint) const {
--- a/src/membership/drain_evidence.hpp
+++ b/src/membership/drain_evidence.hpp
@@ -48,11 +48,11 @@
 
 // At most one ready endpoint in this many is withheld, rounded up, so that eligible endpoints remain if a
 // fault makes many endpoints send MOVE.
-inline constexpr std::size_t kReadyPerWithheld = 3;
+inline constexpr std::size_t kUsablePerWithheld = 3;
 
 // The number of ready endpoints that may be withheld at the same time. The last ready endpoint is never
 // withheld.
-std::size_t withholdingLimit(std::size_t readyEndpoints);
+std::size_t withholdingLimit(std::size_t usableEndpoints);
 
 // ---- events ----
 
@@ -147,7 +147,7 @@
     };
 
     struct Utilisation {
-        double loadOverCapacity = 0.0;
+        double share = 0.0;
         Time reportedAt{0};
     };
 
--- a/src/membership/membership_call.cpp
+++ b/src/membership/membership_call.cpp
@@ -12,8 +12,8 @@
 constexpr std::size_t kMaxMessageBytes = 16UL * 1024 * 1024;
 constexpr int kHttpOk = 200;
 
-std::string requestFor(const Address& discovery, std::uint64_t since) {
-    return "GET /catalog/members?follow=1&since=" + std::to_string(since) +
+std::string requestFor(const Address& discovery, std::uint64_t knownVersion) {
+    return "GET /catalog/members?follow=1&since=" + std::to_string(knownVersion) +
            " HTTP/1.1\r\nHost: " + discovery.text() + "\r\n\r\n";
 }
 
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-MembershipCall::MembershipCall(Signal& signal, const Address& discovery, std::uint64_t since)
-    : startedAt_(signal.scheduler().now()), request_(requestFor(discovery, since)) {
+MembershipCall::MembershipCall(Signal& signal, const Address& discovery, std::uint64_t knownVersion)
+    : startedAt_(signal.scheduler().now()), request_(requestFor(discovery, knownVersion)) {
     connect(signal, discovery);
 }
 
--- a/src/membership/membership_call.hpp
+++ b/src/membership/membership_call.hpp
@@ -34,9 +34,9 @@
         std::string reason;  // for the log
     };
 
-    // Starts to connect. `since` is the version of the list that the node already has. Never throws: if the
-    // connection cannot be started, the call is in the state Failed.
-    MembershipCall(Signal& signal, const Address& discovery, std::uint64_t since);
+    // Starts to connect. `knownVersion` is the version of the list that the node already has. Never throws:
+    // if the connection cannot be started, the call is in the state Failed.
+    MembershipCall(Signal& signal, const Address& discovery, std::uint64_t knownVersion);
 
     // Writes and reads as much as possible without blocking. Returns true if data was read: there may be more
     // to read.
--- a/src/membership/membership_table.cpp
+++ b/src/membership/membership_table.cpp
@@ -13,7 +13,7 @@
     spdlog::debug(
         "endpoint list: {} has id {:016x}, address {}, state {}, kind {}, cell {}, start time {} ms",
         entry.name, static_cast<std::uint64_t>(endpoint), member.address.text(),
-        stateName(entry.availability), entry.kind, entry.cell,
+        discoveryStateName(entry.availability), entry.kind, entry.cell,
         std::chrono::duration_cast<std::chrono::milliseconds>(entry.startedAt).count());
 }
 
--- a/src/membership/membership_update.cpp
+++ b/src/membership/membership_update.cpp
@@ -43,14 +43,14 @@
             {"zone", entry.zone},
             {"kind", entry.kind},
             {"cell", entry.cell},
-            {"state", stateName(entry.availability)},
+            {"state", discoveryStateName(entry.availability)},
             {"weight", entry.weight},
             {"started_ms", std::chrono::duration_cast<milliseconds>(entry.startedAt).count()}};
 }
 
 }  // namespace
 
-const char* stateName(Availability availability) {
+const char* discoveryStateName(Availability availability) {
     return availability == Availability::Ready      ? "active"
            : availability == Availability::Draining ? "leaving"
                                                     : "left";
--- a/src/membership/membership_update.hpp
+++ b/src/membership/membership_update.hpp
@@ -13,7 +13,7 @@
 namespace ivyreel {
 
 // Discovery's name of the availability: "active", "leaving" or "left".
-const char* stateName(Availability availability);
+const char* discoveryStateName(Availability availability);
 
 // An entry of the endpoint list with the address of the endpoint.
 struct Member {
--- a/src/membership/membership_watcher.cpp
+++ b/src/membership/membership_watcher.cpp
@@ -86,10 +86,10 @@
             cancelAll(calls, "another call got a response first");
             co_return answered;
         }
-        dropFailed(calls);
-        dropTimedOut(calls);
+        handleFailedCalls(calls);
+        handleTimeouts(calls);
         if (calls.empty() || addressChanged_) co_return nullptr;
-        if (scheduler_.now() >= hedgeAt_ && calls.size() < kMaxConcurrentCalls) {
+        if (scheduler_.now() >= nextConcurrentCallAt_ && calls.size() < kMaxConcurrentCalls) {
             addCall(calls);
             continue;
         }
@@ -101,7 +101,7 @@
     ++metrics_.listCalls;
     if (!calls.empty()) ++metrics_.listAdditionalCalls;
     calls.push_back(std::make_unique<MembershipCall>(signal_, discovery_, table_.version()));
-    hedgeAt_ = scheduler_.now() + policy_.hedgingDelay();
+    nextConcurrentCallAt_ = scheduler_.now() + policy_.hedgingDelay();
 }
 
 std::unique_ptr<MembershipCall> MembershipWatcher::takeAnswered(Calls& calls) {
@@ -114,12 +114,12 @@
     return answered;
 }
 
-void MembershipWatcher::dropFailed(Calls& calls) {
+void MembershipWatcher::handleFailedCalls(Calls& calls) {
     const MembershipCall* const newest = calls.back().get();
     const auto failed = [&](const std::unique_ptr<MembershipCall>& call) {
         if (call->state() != MembershipCall::State::Failed) return false;
-        callFailed(*call, call->failure());
-        if (call.get() == newest) hedgeAt_ = nextCallAt_;
+        handleCallFailure(*call, call->failure());
+        if (call.get() == newest) nextConcurrentCallAt_ = nextCallAt_;
         return true;
     };
     std::erase_if(calls, failed);
@@ -127,21 +127,21 @@
 
 // A connect timeout shows that the path to discovery is unresponsive, so that earlier calls will not get a
 // response either. All calls are therefore ended.
-void MembershipWatcher::dropTimedOut(Calls& calls) {
+void MembershipWatcher::handleTimeouts(Calls& calls) {
     const Time now = scheduler_.now();
     const auto connectTimedOut = [&](const std::unique_ptr<MembershipCall>& call) {
         return call->state() == MembershipCall::State::Connecting &&
                now >= call->startedAt() + policy_.connectTimeout();
     };
     if (std::any_of(calls.begin(), calls.end(), connectTimedOut)) {
-        callFailed(*calls.back(), {CallFailure::ConnectTimeout, "connecting to discovery timed out"});
+        handleCallFailure(*calls.back(), {CallFailure::ConnectTimeout, "connecting to discovery timed out"});
         calls.pop_back();
         cancelAll(calls, "the path to discovery is unresponsive");
         return;
     }
     const auto responseTimedOut = [&](const std::unique_ptr<MembershipCall>& call) {
         if (now < call->startedAt() + policy_.responseTimeout()) return false;
-        callFailed(*call, {CallFailure::ResponseTimeout, "discovery did not respond"});
+        handleCallFailure(*call, {CallFailure::ResponseTimeout, "discovery did not respond"});
         return true;
     };
     std::erase_if(calls, responseTimedOut);
@@ -157,7 +157,7 @@
 }
 
 Time MembershipWatcher::nextTimeout(const Calls& calls) const {
-    Time next = calls.size() < kMaxConcurrentCalls ? hedgeAt_ : kNever;
+    Time next = calls.size() < kMaxConcurrentCalls ? nextConcurrentCallAt_ : kNever;
     for (const auto& call : calls) {
         const bool connecting = call->state() == MembershipCall::State::Connecting;
         const Micros limit = connecting ? policy_.connectTimeout() : policy_.responseTimeout();
@@ -166,7 +166,8 @@
     return next;
 }
 
-void MembershipWatcher::callFailed(const MembershipCall& call, const MembershipCall::Failure& failure) {
+void MembershipWatcher::handleCallFailure(const MembershipCall& call,
+                                          const MembershipCall::Failure& failure) {
     handleEnd({failure.kind, scheduler_.now() - call.startedAt(), Micros{0}}, failure.reason);
 }
 
--- a/src/membership/membership_watcher.hpp
+++ b/src/membership/membership_watcher.hpp
@@ -69,11 +69,11 @@
 
     void addCall(Calls& calls);
     std::unique_ptr<MembershipCall> takeAnswered(Calls& calls);
-    void dropFailed(Calls& calls);
-    void dropTimedOut(Calls& calls);
+    void handleFailedCalls(Calls& calls);
+    void handleTimeouts(Calls& calls);
     void cancelAll(Calls& calls, std::string_view reason);
     Time nextTimeout(const Calls& calls) const;
-    void callFailed(const MembershipCall& call, const MembershipCall::Failure& failure);
+    void handleCallFailure(const MembershipCall& call, const MembershipCall::Failure& failure);
     void handleEnd(const CallEnd& end, const std::string& reason);
     void countFailure(CallFailure failure);
 
@@ -94,7 +94,7 @@
     Micros timeWithoutWatch_{0};
     Time lastMessageAt_{0};
     Time nextCallAt_{0};
-    Time hedgeAt_ = kNever;
+    Time nextConcurrentCallAt_ = kNever;
     MembershipTable table_;
 };
 
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -123,7 +123,7 @@
         endNotice_ = EndNotice::Completed;
         finalLoad_ = parseLoadReport(rest);
     } else if (word == keyword::kMove) {
-        if (endNotice_ != EndNotice::Migrate) tracker_.movedByEndpoint(trackedRequest_.endpoint());
+        if (endNotice_ != EndNotice::Migrate) tracker_.endpointSentMove(trackedRequest_.endpoint());
         endNotice_ = EndNotice::Migrate;
     }
     if (state_.unansweredSince == kNever) return;
--- a/src/requests/event_conversion.cpp
+++ b/src/requests/event_conversion.cpp
@@ -28,7 +28,7 @@
 
 // Endpoints of different zones do not share their record of idempotency keys. Zones that the settings do not
 // name therefore need distinct indices too.
-ZoneIndex zoneIndexOf(std::vector<std::string>& zoneNames, const std::string& zone) {
+ZoneIndex findOrAddZone(std::vector<std::string>& zoneNames, const std::string& zone) {
     const std::uint32_t index = indexOf(zoneNames, zone);
     if (index == zoneNames.size()) zoneNames.push_back(zone);
     return ZoneIndex{index};
@@ -37,7 +37,7 @@
 EndpointEntry toEndpointEntry(const MemberEntry& entry, NodeSettings& settings) {
     EndpointEntry result;
     result.id = endpointIdOf(entry.name);
-    result.zone = zoneIndexOf(settings.zoneNames, entry.zone);
+    result.zone = findOrAddZone(settings.zoneNames, entry.zone);
     result.kind = KindIndex{indexOf(settings.kindNames, entry.kind)};
     result.cell = CellId{entry.cell};
     result.listedCapacity = entry.weight;
--- a/src/requests/request_tracker.cpp
+++ b/src/requests/request_tracker.cpp
@@ -12,7 +12,7 @@
 
 // An idle connection causes about a tenth of its usual load. A figure below this share of the usual load is
 // therefore not a load.
-constexpr double kMinimumLoadShare = 0.03;
+constexpr double kMinLoadOverExpectedLoad = 0.03;
 
 constexpr double kMicrosPerMilli = 1e3;
 
@@ -85,7 +85,7 @@
 }
 
 bool RequestTracker::isAttemptStillValid(const TrackedRequest& request, EndpointId endpoint) const {
-    return accepts(endpoint) && engine_->isAttemptStillValid(environment_.now(), request.arrival_.request);
+    return isEligible(endpoint) && engine_->isAttemptStillValid(environment_.now(), request.arrival_.request);
 }
 
 void RequestTracker::abandon(TrackedRequest& request) {
@@ -175,13 +175,13 @@
 // Endpoints report loads and message delays on the same line. If the settings announce both, a figure far
 // below the expected load is a delay in milliseconds. If a delay counted as a load, the connections of a slow
 // endpoint would look idle, and the endpoint would get more connections.
-void RequestTracker::loadLineReceived(TrackedRequest& request, double figure) {
-    if (settings_.reportsMessageDelay && figure < kMinimumLoadShare * request.expectedLoad_) {
-        sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, figure});
+void RequestTracker::loadLineReceived(TrackedRequest& request, double value) {
+    if (settings_.reportsMessageDelay && value < kMinLoadOverExpectedLoad * request.expectedLoad_) {
+        sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, value});
         return;
     }
-    request.arrival_.loadHint = figure;
-    sendToEngine(ConnectionLoadMeasured{request.arrival_.request, request.endpoint_, figure});
+    request.arrival_.loadHint = value;
+    sendToEngine(ConnectionLoadMeasured{request.arrival_.request, request.endpoint_, value});
 }
 
 void RequestTracker::messageDelayMeasured(TrackedRequest& request, Micros delay) {
@@ -197,7 +197,7 @@
     sendToEngine(HealthCheckCompleted{endpoint, outcome, elapsed, report});
 }
 
-void RequestTracker::movedByEndpoint(EndpointId endpoint) {
+void RequestTracker::endpointSentMove(EndpointId endpoint) {
     recordEvidence(EndpointSentMove{endpoint});
 }
 
@@ -265,7 +265,7 @@
 
 // ---- queries ----
 
-bool RequestTracker::accepts(EndpointId endpoint) const {
+bool RequestTracker::isEligible(EndpointId endpoint) const {
     return endpoints_.isUsable(endpoint) && !drainEvidence_.withholds(endpoint);
 }
 
--- a/src/requests/request_tracker.hpp
+++ b/src/requests/request_tracker.hpp
@@ -73,9 +73,9 @@
     void attemptEnded(TrackedRequest& request, Outcome outcome, Micros elapsed,
                       const std::optional<LoadReport>& report);
     void connectionEnded(TrackedRequest& request, Outcome outcome, const std::optional<LoadReport>& report);
-    // `figure` is the number on an endpoint's load line: the connection's load in microseconds of work per
+    // `value` is the number on an endpoint's load line: the connection's load in microseconds of work per
     // second, or the delay of its messages in milliseconds.
-    void loadLineReceived(TrackedRequest& request, double figure);
+    void loadLineReceived(TrackedRequest& request, double value);
     void messageDelayMeasured(TrackedRequest& request, Micros delay);
 
     // ---- reports on endpoints ----
@@ -83,7 +83,7 @@
     void healthCheckCompleted(EndpointId endpoint, Outcome outcome, Micros elapsed,
                               const std::optional<LoadReport>& report);
     // The endpoint ended a client's connection with MOVE. A MOVE that this node sent must not be reported.
-    void movedByEndpoint(EndpointId endpoint);
+    void endpointSentMove(EndpointId endpoint);
     // Entries of the endpoint list: the complete list if `full`, otherwise the changed entries.
     void endpointListReceived(bool full, const std::vector<MemberEntry>& entries);
     void endpointListFailed();
@@ -102,7 +102,7 @@
     // ---- queries ----
 
     // Whether the endpoint is eligible for new connections: ready in the list, not banned and not withheld.
-    bool accepts(EndpointId endpoint) const;
+    bool isEligible(EndpointId endpoint) const;
     std::size_t listedEndpointCount() const { return endpoints_.listedCount(); }
     std::size_t excludedEndpointCount() const { return engine_->excludedEndpointCount(); }
     // Whether the current settings name the class.
--- a/tests/call_policy_test.cpp
+++ b/tests/call_policy_test.cpp
@@ -172,7 +172,7 @@
     }
 }
 
-TEST(CallPolicy, AddressChangeResetsState) {
+TEST(CallPolicy, AddressChangeResetsBackoffAndQueueTimes) {
     CallPolicy policy{7};
     const Micros initialDelay = policy.hedgingDelay();
     for (int i = 0; i < 8; ++i) {
--- a/tests/discovery_load_test.cpp
+++ b/tests/discovery_load_test.cpp
@@ -56,7 +56,7 @@
     load.expectAllReceived(load.discovery(), version, disconnectedAt, bound);
 }
 
-TEST_P(DiscoveryLoadTest, AllWatchesDisconnectedAtTheSameTime) {
+TEST_P(DiscoveryLoadTest, AllReceiveChangeInTimeAfterAllWatchesDisconnect) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
@@ -64,7 +64,7 @@
     }));
 }
 
-TEST_P(DiscoveryLoadTest, DelayedResponses) {
+TEST_P(DiscoveryLoadTest, AllReceiveChangeInTimeIfResponsesAreDelayed) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
@@ -88,22 +88,22 @@
     load.expectAllReceived(load.discovery(), version, recoveredAt, listDeadline(load));
 }
 
-TEST_P(DiscoveryLoadTest, OutageWithStatus503) {
+TEST_P(DiscoveryLoadTest, AllReceiveChangeInTimeAfterOutageWithStatus503) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) { return runOutage(l, Outage::Unavailable); }));
 }
 
-TEST_P(DiscoveryLoadTest, OutageWithRefusedConnections) {
+TEST_P(DiscoveryLoadTest, AllReceiveChangeInTimeAfterOutageWithRefusedConnections) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) { return runOutage(l, Outage::Refused); }));
 }
 
-TEST_P(DiscoveryLoadTest, OutageWithResetConnections) {
+TEST_P(DiscoveryLoadTest, AllReceiveChangeInTimeAfterOutageWithResetConnections) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) { return runOutage(l, Outage::Reset); }));
 }
 
-TEST_P(DiscoveryLoadTest, OneCallInTenUnanswered) {
+TEST_P(DiscoveryLoadTest, AllReceiveChangeInTimeIfOneCallInTenIsUnanswered) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
@@ -115,7 +115,7 @@
 }
 
 // Heartbeats stop until the followers detect the timeout. All followers then call at the same time.
-TEST_P(DiscoveryLoadTest, AllHeartbeatsStopAtTheSameTime) {
+TEST_P(DiscoveryLoadTest, AllReceiveChangeInTimeAfterAllHeartbeatsStop) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         co_await l.openAllWatches();
@@ -160,7 +160,7 @@
     }));
 }
 
-TEST_P(DiscoveryLoadTest, AllSwitchToAnotherDiscoveryAtTheSameTime) {
+TEST_P(DiscoveryLoadTest, AllReceiveChangeInTimeAfterAllSwitchToAnotherDiscovery) {
     DiscoveryLoad load{GetParam()};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         OverloadedDiscovery& other = l.otherDiscovery();
@@ -181,14 +181,15 @@
 constexpr FleetLoad kOneFollower{1, 4s};
 constexpr Micros kPushGrace = 100ms;
 constexpr Micros kReopenDeadline = 20ms;
-constexpr Micros kStableWatchAge = 1200ms;  // long enough for a watch to be reopened without a delay
+constexpr Micros kLongerThanStableWatchAge =
+    1200ms;  // long enough for a watch to be reopened without a delay
 
 Task<void> startWithPushedList(DiscoveryLoad& load) {
     load.firstFollower().watcher().setPushDeadline(kPushGrace);
     load.discovery().writeEntry("server-1", "active");
     load.fleet().start();
     co_await load.waitUntil([&load] { return load.fleet().allLive(); });
-    co_await load.sleep(kStableWatchAge);
+    co_await load.sleep(kLongerThanStableWatchAge);
     load.discovery().resetCounts();
 }
 
@@ -221,7 +222,7 @@
             const auto receivedAt = l.fleet().timeAllReceived(version);
             EXPECT_TRUE(receivedAt && *receivedAt - recoveredAt <= kPushGrace / 2 + kPollInterval)
                 << "after an outage of " << inSeconds(outage) << " s";
-            co_await l.sleep(kStableWatchAge);
+            co_await l.sleep(kLongerThanStableWatchAge);
         }
     }));
 }
@@ -275,7 +276,7 @@
         co_await l.waitUntil([&l] { return l.fleet().allLive(); });
         EXPECT_EQ(l.firstFollower().metrics().listAdditionalCalls, 1U)
             << "the response time is not known yet";
-        co_await l.sleep(kStableWatchAge);
+        co_await l.sleep(kLongerThanStableWatchAge);
         l.discovery().disconnectWatches();
         co_await l.waitUntilAllReceived(l.discovery().writeEntry("server-1", "leaving"));
         EXPECT_TRUE(l.fleet().allLive());
@@ -311,21 +312,21 @@
     expectOneLogLineAndList(load, start, load.discovery().version(), text);
 }
 
-TEST(DiscoveryBadInputTest, Status503WithoutBody) {
+TEST(DiscoveryBadInputTest, NextCallGetsListAfterStatus503WithoutBody) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) {
         return runBadResponse(l, "HTTP/1.1 503 Service Unavailable\r\n\r\n", "503");
     }));
 }
 
-TEST(DiscoveryBadInputTest, IncompleteHeader) {
+TEST(DiscoveryBadInputTest, NextCallGetsListAfterIncompleteHeader) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run(
         [](DiscoveryLoad& l) { return runBadResponse(l, "HTTP/1.1 200 OK\r\nTransfer-Enc", "discovery"); }));
 }
 
 // A watch is open only after its first message.
-TEST(DiscoveryBadInputTest, HeaderWithoutMessage) {
+TEST(DiscoveryBadInputTest, NextCallGetsListAfterHeaderWithoutMessage) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) {
         return runBadResponse(l, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -333,7 +334,7 @@
     }));
 }
 
-TEST(DiscoveryBadInputTest, ResponseAfterTimeout) {
+TEST(DiscoveryBadInputTest, NextCallGetsListIfResponseIsLate) {
     DiscoveryLoad load{kOneFollower};
     EXPECT_TRUE(load.run([](DiscoveryLoad& l) -> Task<void> {
         l.discovery().writeEntry("server-1", "active");
--- a/tests/drain_evidence_test.cpp
+++ b/tests/drain_evidence_test.cpp
@@ -125,7 +125,7 @@
     EXPECT_TRUE(f.evidence.withholds(kEndpoint));
 }
 
-TEST(DrainEvidence, CpuUtilisationCountsWithoutLoad) {
+TEST(DrainEvidence, CpuUtilisationIsUsedIfReportHasNoLoad) {
     Fixture f;
     LoadReport cores;
     cores.cpuUtilisation = 0.3;
@@ -227,7 +227,7 @@
     EXPECT_FALSE(f.evidence.withholds(kEndpoint)) << "the evidence was cleared when the list became live";
 }
 
-TEST(DrainEvidence, OnlyRestartInListClearsEvidence) {
+TEST(DrainEvidence, ListEntryClearsEvidenceOnlyIfStartTimeIsLater) {
     Fixture f;
     f.sendMove(kEndpoint);
     f.updateList(kEndpoint, Availability::Ready, 50s);
@@ -245,7 +245,7 @@
     EXPECT_FALSE(f.evidence.withholds(kEndpoint)) << "the endpoint is listed again";
 }
 
-TEST(DrainEvidence, ExpiresWithoutConfirmation) {
+TEST(DrainEvidence, EvidenceExpiresIfNotConfirmed) {
     Fixture f;
     EXPECT_EQ(f.evidence.nextExpiry(), Time::max());
     f.sendMove(kEndpoint);
--- a/tests/event_conversion_test.cpp
+++ b/tests/event_conversion_test.cpp
@@ -28,18 +28,18 @@
     EXPECT_EQ(cached.endpoints.at(0).zone, ZoneIndex{1});
     EXPECT_EQ(cached.endpoints.at(0).kind, KindIndex{1});
     EXPECT_EQ(cached.endpoints.at(0).startedAt, Time{5s});
-    EXPECT_TRUE(f.tracker.accepts(endpointIdOf("s-1")));
+    EXPECT_TRUE(f.tracker.isEligible(endpointIdOf("s-1")));
 
     f.tracker.endpointListReceived(false,
                                    {MemberEntry{"s-1", "b", "m2", 3, 2.0, Availability::Draining, 5s}});
     EXPECT_EQ(f.last<EndpointListChanged>().kind, EndpointListKind::Delta);
-    EXPECT_FALSE(f.tracker.accepts(endpointIdOf("s-1")));
+    EXPECT_FALSE(f.tracker.isEligible(endpointIdOf("s-1")));
     f.tracker.endpointListReceived(true, {MemberEntry{"s-2", "a", "m1", 0, 1.0, Availability::Ready, 0s}});
     EXPECT_EQ(f.last<EndpointListChanged>().kind, EndpointListKind::Full);
-    EXPECT_TRUE(f.tracker.accepts(endpointIdOf("s-2")));
-    EXPECT_FALSE(f.tracker.accepts(endpointIdOf("s-1")));
+    EXPECT_TRUE(f.tracker.isEligible(endpointIdOf("s-2")));
+    EXPECT_FALSE(f.tracker.isEligible(endpointIdOf("s-1")));
     f.tracker.endpointListReceived(false, {MemberEntry{"s-2", "a", "m1", 0, 1.0, Availability::Gone, 0s}});
-    EXPECT_FALSE(f.tracker.accepts(endpointIdOf("s-2")));
+    EXPECT_FALSE(f.tracker.isEligible(endpointIdOf("s-2")));
 
     f.tracker.endpointListReceived(false, {MemberEntry{"s-3", "c", "m1", 0, 1.0, Availability::Ready, 0s},
                                            MemberEntry{"s-4", "d", "m1", 0, 1.0, Availability::Ready, 0s},
--- a/tests/membership_watcher_test.cpp
+++ b/tests/membership_watcher_test.cpp
@@ -293,7 +293,7 @@
 
 // Changes of a pushed list must be applied as soon as the sender is reachable again. The decision engine
 // would not request the list in time.
-TEST(MembershipWatcher, PushedListIsWatchedAgainOnceSenderIsReachable) {
+TEST(MembershipWatcher, PushedListIsWatchedAgainOnceDiscoveryIsReachable) {
     Fixture f;
     f.watcher.setPushDeadline(100ms);
     f.watcher.start();
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -100,8 +100,8 @@
     RelayFixture fixture;
     fixture.endpointEndsWith("MOVE\r\n");
     EXPECT_EQ(fixture.clientReceived, "MOVE\r\n");
-    EXPECT_FALSE(fixture.tracker.accepts(fixture.endpoint));
-    EXPECT_TRUE(fixture.tracker.accepts(endpointIdOf("s-2")));
+    EXPECT_FALSE(fixture.tracker.isEligible(fixture.endpoint));
+    EXPECT_TRUE(fixture.tracker.isEligible(endpointIdOf("s-2")));
 }
 
 TEST(Relay, ByeOrAnEndWithoutNoticeDoesNotWithholdTheEndpoint) {
@@ -109,7 +109,7 @@
         RelayFixture fixture;
         fixture.endpointEndsWith(text);
         EXPECT_EQ(fixture.clientReceived, text);
-        EXPECT_TRUE(fixture.tracker.accepts(fixture.endpoint)) << text;
+        EXPECT_TRUE(fixture.tracker.isEligible(fixture.endpoint)) << text;
     }
 }
 
@@ -117,7 +117,7 @@
     RelayFixture fixture;
     fixture.run(true);
     EXPECT_EQ(fixture.clientReceived, "MOVE\r\n");
-    EXPECT_TRUE(fixture.tracker.accepts(fixture.endpoint));
+    EXPECT_TRUE(fixture.tracker.isEligible(fixture.endpoint));
 }
 
 }  // namespace
--- a/tests/request_tracker_withholding_test.cpp
+++ b/tests/request_tracker_withholding_test.cpp
@@ -63,60 +63,60 @@
     EXPECT_EQ(f.tracker.listedEndpointCount(), 1U);
     EXPECT_TRUE(f.tracker.setEndpointDisabled(endpointIdOf("s-1"), true));
     EXPECT_TRUE(f.last<EndpointBanChanged>().banned);
-    EXPECT_FALSE(f.tracker.accepts(endpointIdOf("s-1")));
+    EXPECT_FALSE(f.tracker.isEligible(endpointIdOf("s-1")));
     EXPECT_EQ(f.tracker.listedEndpointCount(), 1U) << "a banned endpoint is still listed";
     f.tracker.endpointListReceived(true, {});
     EXPECT_EQ(f.tracker.listedEndpointCount(), 0U);
     f.tracker.endpointListReceived(true, {endpoint});
-    EXPECT_FALSE(f.tracker.accepts(endpointIdOf("s-1"))) << "listed again, and still banned";
+    EXPECT_FALSE(f.tracker.isEligible(endpointIdOf("s-1"))) << "listed again, and still banned";
     f.tracker.endpointListReceived(false, {MemberEntry{"s-1", "", "", 0, 1.0, Availability::Gone, 0s}});
     EXPECT_TRUE(f.tracker.setEndpointDisabled(endpointIdOf("s-1"), false))
         << "an endpoint that is no longer listed is known";
     EXPECT_FALSE(f.last<EndpointBanChanged>().banned);
     f.tracker.endpointListReceived(false, {endpoint});
-    EXPECT_TRUE(f.tracker.accepts(endpointIdOf("s-1")));
+    EXPECT_TRUE(f.tracker.isEligible(endpointIdOf("s-1")));
 }
 
-TEST(RequestTrackerWithholding, AnEndpointThatSentMoveIsBannedUntilTheListIsLive) {
+TEST(RequestTrackerWithholding, AnEndpointThatSentMoveIsWithheldUntilTheListIsLive) {
     StaleListFixture f;
     EXPECT_EQ(f.reportedBan(f.draining), std::nullopt);
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     EXPECT_EQ(f.reportedBan(f.draining), true);
-    EXPECT_FALSE(f.tracker.accepts(f.draining));
-    EXPECT_TRUE(f.tracker.accepts(endpointIdOf("s-2")));
+    EXPECT_FALSE(f.tracker.isEligible(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(endpointIdOf("s-2")));
     EXPECT_EQ(f.withheld, 1);
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     EXPECT_EQ(f.withheld, 1) << "the second MOVE is from the same endpoint";
     f.freshness(ListFreshness::State::Live);
     EXPECT_EQ(f.reportedBan(f.draining), false);
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
     EXPECT_EQ(f.withheldCleared, 1);
 }
 
 TEST(RequestTrackerWithholding, NothingIsWithheldWhileTheListIsLiveWhichIsItsInitialState) {
     TrackerFixture f;
     f.tracker.start({StaleListFixture::ready("s-1"), StaleListFixture::ready("s-2")});
-    f.tracker.movedByEndpoint(endpointIdOf("s-1"));
-    EXPECT_TRUE(f.tracker.accepts(endpointIdOf("s-1")));
+    f.tracker.endpointSentMove(endpointIdOf("s-1"));
+    EXPECT_TRUE(f.tracker.isEligible(endpointIdOf("s-1")));
     EXPECT_EQ(f.withheld, 0);
 }
 
 // Guards against a release before the list change, after which the engine would select the draining endpoint.
-TEST(RequestTrackerWithholding, AnEndpointThatTheListRemovesIsReleasedAfterTheEngineHasTheList) {
+TEST(RequestTrackerWithholding, AnEndpointListedAsDrainingIsReleasedAfterTheEngineHasTheList) {
     StaleListFixture f;
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     f.tracker.endpointListReceived(false, {MemberEntry{"s-1", "", "", 0, 1.0, Availability::Draining, 0s}});
     ASSERT_GE(f.events.size(), 2U);
     EXPECT_TRUE(std::holds_alternative<EndpointListChanged>(f.events[f.events.size() - 2]));
     EXPECT_FALSE(f.last<EndpointBanChanged>().banned);
-    EXPECT_FALSE(f.tracker.accepts(f.draining)) << "the list says that the endpoint drains";
+    EXPECT_FALSE(f.tracker.isEligible(f.draining)) << "the list says that the endpoint drains";
 }
 
 TEST(RequestTrackerWithholding, ALaterStartTimeInTheListReleasesTheEndpoint) {
     StaleListFixture f;
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     f.tracker.endpointListReceived(false, {MemberEntry{"s-1", "", "", 0, 1.0, Availability::Ready, 5s}});
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
 }
 
 TEST(RequestTrackerWithholding, AnAcceptedConnectionReleasesOnlyIfItsAttemptStartedAfterTheEvidence) {
@@ -124,14 +124,14 @@
     TrackedRequest early{f.tracker, f.listener, RequestAttributes{}};
     ASSERT_TRUE(f.tracker.takeDecision(early));
     f.clock += 10ms;
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     f.clock += 10ms;
     f.tracker.connectionEstablished(early, 20ms);
-    EXPECT_FALSE(f.tracker.accepts(f.draining));
+    EXPECT_FALSE(f.tracker.isEligible(f.draining));
     TrackedRequest late{f.tracker, f.listener, RequestAttributes{}};
     ASSERT_TRUE(f.tracker.takeDecision(late));
     f.tracker.connectionEstablished(late, 20ms);
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
     EXPECT_EQ(f.reportedBan(f.draining), false);
 }
 
@@ -140,7 +140,7 @@
     TrackedRequest trackedRequest{f.tracker, f.listener, RequestAttributes{}};
     ASSERT_TRUE(f.tracker.takeDecision(trackedRequest));
     EXPECT_TRUE(f.tracker.isAttemptStillValid(trackedRequest, f.draining));
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     EXPECT_FALSE(f.tracker.isAttemptStillValid(trackedRequest, f.draining));
 }
 
@@ -148,11 +148,11 @@
     StaleListFixture f;
     f.tracker.healthCheckCompleted(f.draining, Outcome::Ok, 1ms, StaleListFixture::load(0.3));
     f.rejectAttempt(std::nullopt);
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
     TrackedRequest trackedRequest{f.tracker, f.listener, RequestAttributes{}};
     ASSERT_TRUE(f.tracker.takeDecision(trackedRequest));
     f.tracker.attemptEnded(trackedRequest, Outcome::Rejected, 1ms, std::nullopt);
-    EXPECT_FALSE(f.tracker.accepts(f.draining));
+    EXPECT_FALSE(f.tracker.isEligible(f.draining));
     EXPECT_TRUE(f.last<AttemptEnded>().endpoint == f.draining);
     EXPECT_TRUE(std::get<EndpointBanChanged>(f.events[f.events.size() - 2]).banned);
 }
@@ -164,7 +164,7 @@
     f.tracker.connectionEnded(served, Outcome::Ok, StaleListFixture::load(0.3));
     f.rejectAttempt(std::nullopt);
     f.rejectAttempt(std::nullopt);
-    EXPECT_FALSE(f.tracker.accepts(f.draining));
+    EXPECT_FALSE(f.tracker.isEligible(f.draining));
 }
 
 TEST(RequestTrackerWithholding, RejectionsAtCapacityDoNotWithhold) {
@@ -173,7 +173,7 @@
     for (int i = 0; i < 4; ++i) {
         f.rejectAttempt(StaleListFixture::load(0.95));
     }
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
     EXPECT_EQ(f.withheld, 0);
 }
 
@@ -185,29 +185,29 @@
         ASSERT_TRUE(f.tracker.takeDecision(trackedRequest));
         f.tracker.attemptEnded(trackedRequest, outcome, 1ms, std::nullopt);
     }
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
 }
 
 TEST(RequestTrackerWithholding, AnOperatorBanAndWithholdingDoNotLiftEachOther) {
     StaleListFixture f;
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     f.tracker.setEndpointDisabled(f.draining, true);
     f.tracker.setEndpointDisabled(f.draining, false);
     EXPECT_EQ(f.reportedBan(f.draining), true) << "the endpoint is still withheld";
-    EXPECT_FALSE(f.tracker.accepts(f.draining));
+    EXPECT_FALSE(f.tracker.isEligible(f.draining));
     f.tracker.setEndpointDisabled(f.draining, true);
     f.freshness(ListFreshness::State::Live);
     EXPECT_EQ(f.reportedBan(f.draining), true) << "the endpoint is still banned";
-    EXPECT_FALSE(f.tracker.accepts(f.draining));
+    EXPECT_FALSE(f.tracker.isEligible(f.draining));
     f.tracker.setEndpointDisabled(f.draining, false);
     EXPECT_EQ(f.reportedBan(f.draining), false);
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
 }
 
 // If the engine got a release while the other cause remains, it would forward waiting requests immediately.
 TEST(RequestTrackerWithholding, TheEngineGetsNoReleaseWhileABanOrWithholdingRemains) {
     StaleListFixture f;
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     f.tracker.setEndpointDisabled(f.draining, true);
     f.tracker.setEndpointDisabled(f.draining, false);
     for (const Event& event : f.events) {
@@ -220,27 +220,27 @@
     StaleListFixture f;
     f.tracker.setEndpointDisabled(endpointIdOf("s-2"), true);
     f.tracker.setEndpointDisabled(endpointIdOf("s-3"), true);
-    f.tracker.movedByEndpoint(f.draining);
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    f.tracker.endpointSentMove(f.draining);
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
     f.tracker.setEndpointDisabled(endpointIdOf("s-2"), false);
-    EXPECT_FALSE(f.tracker.accepts(f.draining));
+    EXPECT_FALSE(f.tracker.isEligible(f.draining));
 }
 
 TEST(RequestTrackerWithholding, AWithheldEndpointIsNotExportedAsBanned) {
     StaleListFixture f;
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     f.tracker.setEndpointDisabled(endpointIdOf("s-2"), true);
     EXPECT_EQ(f.tracker.exportState().banned, std::vector{endpointIdOf("s-2")});
 }
 
 TEST(RequestTrackerWithholding, ExpiresAfterTheEvidenceLifetime) {
     StaleListFixture f;
-    f.tracker.movedByEndpoint(f.draining);
+    f.tracker.endpointSentMove(f.draining);
     EXPECT_EQ(f.tracker.runDueTimers(), f.clock + kEvidenceLifetime);
     f.clock += kEvidenceLifetime;
     EXPECT_EQ(f.tracker.runDueTimers(), Time::max());
     EXPECT_EQ(f.reportedBan(f.draining), false);
-    EXPECT_TRUE(f.tracker.accepts(f.draining));
+    EXPECT_TRUE(f.tracker.isEligible(f.draining));
 }
 
 // Uses the real decision engine.
@@ -278,7 +278,7 @@
     };
     EXPECT_GT(decisionsForDraining(), 0);
     tracker.setListFreshness({ListFreshness::State::Stale, environment.clock});
-    tracker.movedByEndpoint(draining);
+    tracker.endpointSentMove(draining);
     EXPECT_EQ(decisionsForDraining(), 0);
     tracker.setListFreshness({ListFreshness::State::Live, environment.clock});
     EXPECT_GT(decisionsForDraining(), 0);
