--- a/src/membership/call_policy.cpp
+++ b/src/membership/call_policy.cpp
@@ -98,9 +98,9 @@
 // discovery that does not distinguish the calls of a client may remove the first call from the queue when it
 // rejects the second one.
 //
-// After a rejection the queue is known to be full. A slow response is then more likely than a lost one, and
-// the call may use the part of the propagation deadline that the preceding backoff has left. The sender of a
-// pushed list has no queue.
+// After an overload backoff the queue may be full. A slow response is then more likely than a lost one, and
+// the call may use the part of the propagation deadline that the preceding backoff has left. Discovery has no
+// queue if the list is pushed.
 Micros CallPolicy::hedgingDelay() const {
     if (pushDeadline_) return kPushHedgingDelay;
     const Micros likelyLostAfter = longestQueueTime() + kSchedulingMargin;
@@ -123,7 +123,8 @@
     return randomDelay(std::min(kJitterPerNode * nodeCount_, kMaxFleetJitter));
 }
 
-// Exponential backoff with full jitter. Each consecutive call doubles the upper bound, up to maxBackoff().
+// Exponential backoff with full jitter. Each overload backoff since the last stable watch doubles the upper
+// bound, up to maxBackoff().
 Micros CallPolicy::overloadBackoff() {
     const Micros window = kInitialBackoff * (1U << std::min(overloadBackoffCount_, kMaxDoublings));
     ++overloadBackoffCount_;
@@ -132,7 +133,7 @@
 }
 
 // A node must not miss changes of a pushed list. A stable watch that ends is reopened immediately, and an
-// unreachable sender is called twice before the push deadline.
+// unreachable discovery is called twice before the push deadline.
 Retry CallPolicy::pushRetry(const CallEnd& end) {
     const bool watchLost =
         end.failure == CallFailure::HeartbeatTimeout || end.failure == CallFailure::WatchEnded;
@@ -152,8 +153,8 @@
     return std::max(kAssumedQueueTime, *std::max_element(queueTimes_.begin(), queueTimes_.end()));
 }
 
-// The longest backoff after which a call still gets its response before the propagation deadline, if it
-// spends the longest recorded time in the queue.
+// The upper bound of the overload backoff: the part of the propagation deadline that the longest queue time
+// leaves, within kMinBackoffBound and kMaxBackoff. At the lower limit, a call may miss the deadline.
 Micros CallPolicy::maxBackoff() const {
     const Micros timeForBackoff = kPropagationDeadline - longestQueueTime() - kSchedulingMargin;
     return std::clamp(timeForBackoff, kMinBackoffBound, kMaxBackoff);
--- a/src/membership/call_policy.hpp
+++ b/src/membership/call_policy.hpp
@@ -26,14 +26,14 @@
     Overloaded,         // an error status, or the connection ended before a response
     ResponseTimeout,    // connected, but no complete message in time
     MalformedResponse,  // the response cannot be parsed
-    WatchEnded,         // an open watch ended
-    HeartbeatTimeout,   // an open watch delivered no heartbeat in time
+    WatchEnded,         // discovery closed an open watch, or its connection ended
+    HeartbeatTimeout,   // an open watch delivered no message, heartbeat or update, in time
 };
 
 struct CallEnd {
     CallFailure failure = CallFailure::Overloaded;
     Micros elapsed{0};   // from the start of the call to its end, or to its first message
-    Micros watchAge{0};  // from the first message to the end; 0: no message arrived
+    Micros watchAge{0};  // from the first message to the end; 0: ended before the message or with it
 };
 
 // What to do after a call or its watch has ended.
@@ -52,11 +52,12 @@
     // calls over a time that grows with this number.
     void setNodeCount(std::uint32_t nodes) { nodeCount_ = nodes; }
     // For a pushed list: the time within which a change must be applied, whether or not a watch is open. The
-    // sender serves a single node, so that its failures are not signs of overload. nullopt: the node
-    // polls the list.
+    // node opens a watch in this mode too, but discovery serves a single node, so that its failures are not
+    // signs of overload. nullopt: the list is not pushed, and discovery serves all nodes.
     void setPushDeadline(std::optional<Micros> deadline) { pushDeadline_ = deadline; }
 
-    // Records that the first message of a watch arrived `elapsed` after the start of the call.
+    // Records that the first message of a watch arrived `elapsed` after the start of the call. The whole time
+    // counts as time in discovery's queue.
     void recordResponse(Micros elapsed);
     // Decides when to call again after a call or its watch has ended.
     Retry nextRetry(const CallEnd& end);
@@ -85,7 +86,7 @@
     SplitMix64 random_;
     std::uint32_t nodeCount_ = 1;
     std::optional<Micros> pushDeadline_;
-    unsigned overloadBackoffCount_ = 0;  // since the last stable watch
+    unsigned overloadBackoffCount_ = 0;  // since the last stable watch or change of the address
     Micros lastOverloadBackoff_{0};
     std::array<Micros, kRecordedQueueTimes> queueTimes_{};
     std::size_t nextQueueTime_ = 0;
--- a/src/membership/drain_evidence.hpp
+++ b/src/membership/drain_evidence.hpp
@@ -10,8 +10,13 @@
 // endpoint is dropped when
 //   - the list becomes live again,
 //   - the list shows that the endpoint has restarted or is gone,
-//   - the endpoint has accepted a connection whose attempt started after the evidence, or
+//   - the endpoint has accepted a connection whose attempt started when the evidence was last confirmed or
+//     later, or
 //   - kEvidenceLifetime has passed since the evidence was last confirmed.
+//
+// An endpoint that is listed as draining, or that an operator has banned, is not withheld; the evidence
+// against it is kept. An endpoint is usable if it is ready in the list and not banned by an operator, whether
+// or not it is withheld.
 #pragma once
 
 #include <chrono>
@@ -42,16 +47,17 @@
 // An older load report is ignored. Health checks provide a report at least every 5 s; one of them may fail.
 inline constexpr Micros kUtilisationLifetime = std::chrono::seconds(10);
 
-// A BUSY after this share of the attempt's timeout or later is not evidence. The cause may be an expired
-// client timeout, which is the protocol's third reason for BUSY. A draining endpoint responds immediately.
+// A BUSY after this share of the attempt's timeout or later is not evidence. An endpoint sends BUSY if it
+// drains, if it is full, or, as the protocol's third reason, if the client's timeout has expired, which may
+// be the cause of a late BUSY. A draining endpoint responds immediately.
 inline constexpr double kPromptRejectionShare = 0.5;
 
-// At most one ready endpoint in this many is withheld, rounded up, so that eligible endpoints remain if a
+// At most one usable endpoint in this many is withheld, rounded up, so that eligible endpoints remain if a
 // fault makes many endpoints send MOVE.
 inline constexpr std::size_t kUsablePerWithheld = 3;
 
-// The number of ready endpoints that may be withheld at the same time. The last ready endpoint is never
-// withheld.
+// The number of usable endpoints that may be withheld at the same time. If only one endpoint is usable, it is
+// not withheld.
 std::size_t withholdingLimit(std::size_t usableEndpoints);
 
 // ---- events ----
@@ -99,8 +105,7 @@
     std::vector<ListedEndpoint> entries;
 };
 
-// An operator has banned an endpoint or lifted the ban. withholdingLimit() does not count a banned endpoint
-// as ready.
+// An operator has banned an endpoint or lifted the ban. A banned endpoint does not count as usable.
 struct OperatorBanChanged {
     EndpointId endpoint{};
     bool banned = true;
@@ -147,7 +152,7 @@
     };
 
     struct Utilisation {
-        double share = 0.0;
+        double share = 0.0;  // load over capacity, or CPU utilisation if the report has no load
         Time reportedAt{0};
     };
 
--- a/src/membership/list_freshness.hpp
+++ b/src/membership/list_freshness.hpp
@@ -8,8 +8,8 @@
 struct ListFreshness {
     enum class State {
         Live,        // a watch is open and delivers each change
-        CatchingUp,  // no response yet to the first call, or to the call after a watch has ended
-        Stale,       // a call has failed since discovery's last message
+        CatchingUp,  // no watch is open, no call has failed since the last watch ended or the start
+        Stale,       // no watch is open, and a call has failed since then
     };
     State state = State::CatchingUp;
     Time since{0};  // live: when the watch opened; else when the last watch ended or the process started
--- a/src/membership/membership_watcher.cpp
+++ b/src/membership/membership_watcher.cpp
@@ -72,8 +72,9 @@
     }
 }
 
-// Starts one call. If its response is likely to be lost, a hedging call is started beside it and the first
-// response is used. The first call stays open and keeps its position in discovery's queue.
+// Keeps up to kMaxConcurrentCalls calls open and uses the first response. A further call is started when the
+// hedging delay of the newest call has passed, or at the retry time if the newest call has failed. The
+// earlier calls stay open and keep their positions in discovery's queue.
 Task<std::unique_ptr<MembershipCall>> MembershipWatcher::openWatch() {
     Calls calls;
     addCall(calls);
@@ -147,10 +148,11 @@
     std::erase_if(calls, responseTimedOut);
 }
 
+// Counts each call as a response timeout, whatever the reason for the cancellation.
 void MembershipWatcher::cancelAll(Calls& calls, std::string_view reason) {
     for (const auto& call : calls) {
         countFailure(CallFailure::ResponseTimeout);
-        spdlog::warn("endpoint list: discovery did not respond, call cancelled after {:.2f} s: {}",
+        spdlog::warn("endpoint list: call to discovery cancelled after {:.2f} s without a message: {}",
                      inSeconds(scheduler_.now() - call->startedAt()), reason);
     }
     calls.clear();
--- a/src/requests/decision.hpp
+++ b/src/requests/decision.hpp
@@ -1,4 +1,5 @@
-// The decisions that the decision engine makes for a request, and the interface that notifies its owner.
+// The decisions that the decision engine makes for a request, and the callback interface for the request's
+// owner.
 #pragma once
 
 #include <variant>
@@ -32,6 +33,7 @@
     DecisionListener(DecisionListener&&) = delete;
     DecisionListener& operator=(DecisionListener&&) = delete;
     virtual ~DecisionListener() = default;
+    // May be called before RequestTracker::takeDecision() returns.
     virtual void onDecision() = 0;
 };
 
--- a/src/requests/endpoint_directory.hpp
+++ b/src/requests/endpoint_directory.hpp
@@ -1,5 +1,6 @@
-// All endpoints that have been listed at any time, with their availability in the endpoint list and their
-// operator bans.
+// All endpoints that the node knows, with their availability in the endpoint list and their operator bans. An
+// endpoint is known if this node or its predecessor has listed it at any time, or if an operator has banned
+// it.
 #pragma once
 
 #include <cstddef>
--- a/src/requests/event_conversion.hpp
+++ b/src/requests/event_conversion.hpp
@@ -14,7 +14,8 @@
 // The id of an endpoint: a hash of its name, so that all nodes derive the same id.
 EndpointId endpointIdOf(std::string_view name);
 
-// Converts a request. An unknown class or tenant gets the index after the last known one.
+// Converts a request. An unknown class or tenant gets the index after the last known one. An empty tenant
+// gets index 0, that of the first tenant.
 RequestArrived toRequestArrived(RequestId request, const RequestAttributes& attributes,
                                 const NodeSettings& settings);
 
--- a/src/requests/request_tracker.cpp
+++ b/src/requests/request_tracker.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// An idle connection causes about a tenth of its usual load. A figure below this share of the usual load is
-// therefore not a load.
+// An idle connection causes about a tenth of its expected load. A value below this share of the expected
+// load, which leaves a margin, is therefore not a load. Without a load hint, each value counts as a load.
 constexpr double kMinLoadOverExpectedLoad = 0.03;
 
 constexpr double kMicrosPerMilli = 1e3;
@@ -172,7 +172,7 @@
     removeRequest(request);
 }
 
-// Endpoints report loads and message delays on the same line. If the settings announce both, a figure far
+// Endpoints report loads and message delays on the same line. If the settings announce both, a value far
 // below the expected load is a delay in milliseconds. If a delay counted as a load, the connections of a slow
 // endpoint would look idle, and the endpoint would get more connections.
 void RequestTracker::loadLineReceived(TrackedRequest& request, double value) {
@@ -202,7 +202,7 @@
 }
 
 // The decision engine gets the list before an endpoint is released from withholding. Otherwise it could
-// select an endpoint that the list has just removed.
+// select an endpoint that the list has just reported as draining or gone.
 void RequestTracker::endpointListReceived(bool full, const std::vector<MemberEntry>& entries) {
     applyListChange(full ? EndpointListKind::Full : EndpointListKind::Delta, entries);
     recordListEntries(full, entries);
@@ -307,12 +307,14 @@
         },
         [this](const RejectRequest& reject) { deliver(reject.request, Rejection{reject.retryAfter}); },
         [this](const FailRequest& fail) { deliver(fail.request, RequestFailure{}); },
-        [](const CancelAttempt&) {},  // the owner cancels the attempt because of the accompanying decision
+        // The decision engine cancels an attempt only together with RejectRequest or FailRequest. The owner
+        // cancels the attempt when that decision is pending.
+        [](const CancelAttempt&) {},
         [this](const MigrateConnection& migrate) { requestMigration(migrate.request); },
         [this](const StartHealthCheck& start) { environment_.startHealthCheck(start.endpoint); },
         [this](const WatchEndpoints&) { environment_.startWatchingEndpointList(); },
         [this](const SetTimer& timer) { timers_.add(environment_.now() + timer.after, timer.token); },
-        [](const Log&) {},
+        [](const Log&) {},  // the node does not use the decision engine's log
     };
     std::visit(performer, action);
 }
--- a/src/requests/request_tracker.hpp
+++ b/src/requests/request_tracker.hpp
@@ -54,8 +54,10 @@
 
     // ---- requests ----
 
-    // Returns the next decision. Returns nullopt while the decision engine holds the request; the listener is
-    // notified when there is a decision.
+    // Submits the request to the decision engine at the first call. Returns the pending decision, or nullopt
+    // while the decision engine holds the request; the listener is notified when there is a decision. If the
+    // decision is ForwardTo, the attempt counts as started now. Must not be called again after the decision
+    // was Rejection or RequestFailure.
     std::optional<Decision> takeDecision(TrackedRequest& request);
     // Whether the attempt at the endpoint may still start. Since the decision, the endpoint may have become
     // unavailable in the list, banned or withheld, it may have restarted, or the decision may have expired.
@@ -87,14 +89,16 @@
     // Entries of the endpoint list: the complete list if `full`, otherwise the changed entries.
     void endpointListReceived(bool full, const std::vector<MemberEntry>& entries);
     void endpointListFailed();
-    // The list counts as live until the first call. When the list becomes live again, the entries of the
-    // watch's first message must be reported by endpointListReceived() before this call. Otherwise a draining
-    // endpoint would be selected between the two calls.
+    // Until this function is called for the first time, the list is treated as live, so that no drain
+    // evidence is collected; the default state of ListFreshness is CatchingUp. When the list becomes live
+    // again, the entries of the watch's first message must be reported by endpointListReceived() before this
+    // function is called. Otherwise a draining endpoint would be selected between the two reports.
     void setListFreshness(const ListFreshness& freshness);
 
     // ---- bans by operators ----
 
-    // Returns false if the endpoint was never listed.
+    // Returns false if the endpoint is unknown: never listed by this node or its predecessor, and never
+    // banned by an operator.
     bool setEndpointDisabled(EndpointId endpoint, bool disabled);
     // Applies a ban that another node reported. The endpoint need not be listed at this node.
     void applyOperatorBan(EndpointId endpoint, bool banned);
--- a/src/requests/tracked_request.hpp
+++ b/src/requests/tracked_request.hpp
@@ -17,15 +17,16 @@
     std::string_view requestClass;
     std::string_view tenant;
     std::string_view group;
-    std::string_view key;
+    std::string_view key;            // converted to RequestArrived::flowKey
     std::optional<double> loadHint;  // expected load in microseconds of work per second
     Micros clientTimeout{0};
     bool reconnecting = false;
 };
 
 // The owner calls RequestTracker::takeDecision() until the request is established, rejected or failed, and
-// reports the result of each attempt to the tracker. The listener is notified of each decision that is
-// delivered in between, so that the owner can wait for the decision engine and for the client at once.
+// reports the result of each attempt to the tracker. The listener is notified when a decision is pending or
+// the connection is to be migrated, so that the owner can wait for the decision engine and for the client at
+// once. The listener may be notified before takeDecision() returns.
 class TrackedRequest {
   public:
     // The first call of RequestTracker::takeDecision() passes the request to the decision engine.
@@ -37,7 +38,8 @@
     // Reports that the client has disconnected if the decision engine still tracks the request.
     ~TrackedRequest();
 
-    // Whether there is a decision to take. A decision that arrives during an attempt cancels the attempt.
+    // Whether there is a decision to take. If a decision is pending during an attempt, the owner
+    // must cancel the attempt.
     bool hasPendingDecision() const { return decision_.has_value(); }
     // Whether the decision engine migrates the connection: the owner sends MOVE and the client reconnects.
     bool shouldMigrate() const { return shouldMigrate_; }
@@ -55,7 +57,7 @@
 
     RequestTracker& tracker_;
     DecisionListener& listener_;
-    RequestArrived arrival_;
+    RequestArrived arrival_;      // the endpoint's latest load report replaces its load hint
     double expectedLoad_;         // the client's load hint in microseconds of work per second; 0: none
     bool knownToEngine_ = false;  // the decision engine tracks the request
     bool shouldMigrate_ = false;
--- a/src/requests/tracker_environment.hpp
+++ b/src/requests/tracker_environment.hpp
@@ -17,7 +17,8 @@
     // Unix time; never decreases.
     virtual Time now() const = 0;
     virtual void startHealthCheck(EndpointId endpoint) = 0;
-    // Requests the endpoint list and opens a watch on it.
+    // Asks for a watch on the endpoint list. MembershipWatcher schedules its retries itself, so that only the
+    // first call has an effect in a node.
     virtual void startWatchingEndpointList() = 0;
     // Called when the tracker starts or stops withholding an endpoint from new connections because of drain
     // evidence (see membership/drain_evidence.hpp).
--- a/src/simulator/event_decoder.cpp
+++ b/src/simulator/event_decoder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Bits of a request's flags byte.
+// Bits of a request's flags byte. The other bits are ignored.
 constexpr std::uint8_t kHasLoadHint = 1;
 constexpr std::uint8_t kMidFlow = 8;
 constexpr std::uint8_t kReconnecting = 16;
--- a/tests/call_policy_test.cpp
+++ b/tests/call_policy_test.cpp
@@ -118,7 +118,8 @@
     }
 }
 
-// The queue time has already delayed the caller, and half of the propagation deadline has passed.
+// A call that is rejected 1 s or later after its start was in the queue, which has already delayed the
+// caller. Here the call is rejected after half of the propagation deadline.
 TEST(CallPolicy, RejectionInQueueDoesNotIncreaseBackoff) {
     CallPolicy policy{7};
     for (int i = 0; i < 20; ++i) {
--- a/tests/membership_watcher_test.cpp
+++ b/tests/membership_watcher_test.cpp
@@ -291,7 +291,7 @@
     }));
 }
 
-// Changes of a pushed list must be applied as soon as the sender is reachable again. The decision engine
+// Changes of a pushed list must be applied as soon as discovery is reachable again. The decision engine
 // would not request the list in time.
 TEST(MembershipWatcher, PushedListIsWatchedAgainOnceDiscoveryIsReachable) {
     Fixture f;
