--- a/src/requests/stable_indices.hpp
+++ b/src/requests/stable_indices.hpp
@@ -2,9 +2,9 @@
 //
 // The decision engine identifies request classes, tenants, zones and server kinds by their index in a list of
 // names. The index of a listed name is the same for the lifetime of the process: new settings may reorder,
-// add and drop names, but the lists of names in use only grow, by appending. A class, tenant or
-// kind that is not in its list gets the size of the list as its index; after new settings have appended
-// names, that index refers to the first of them. An unknown zone is appended.
+// add and drop names, but the lists of names in use only grow, by appending. A class, tenant or kind that is
+// not in its list gets the size of the list as its index; after new settings have appended names, that index
+// refers to the first of them. An unknown zone is appended.
 #pragma once
 
 #include <cstdint>
