--- a/tests/discovery_load_test.cpp
+++ b/tests/discovery_load_test.cpp
@@ -321,8 +321,9 @@
 
 TEST(DiscoveryBadInputTest, NextCallGetsListAfterIncompleteHeader) {
     DiscoveryLoad load{kOneFollower};
-    EXPECT_TRUE(load.run(
-        [](DiscoveryLoad& l) { return runBadResponse(l, "HTTP/1.1 200 OK\r\nTransfer-Enc", "discovery"); }));
+    EXPECT_TRUE(load.run([](DiscoveryLoad& l) {
+        return runBadResponse(l, "HTTP/1.1 200 OK\r\nTransfer-Enc", "call to discovery cancelled after");
+    }));
 }
 
 // A watch is open only after its first message.
@@ -348,7 +349,7 @@
         l.discovery().setFaults({});
         co_await l.waitUntilAllReceived(l.discovery().version());
         co_await l.sleep(kQuietPeriod);
-        expectOneLogLineAndList(l, start, l.discovery().version(), "discovery");
+        expectOneLogLineAndList(l, start, l.discovery().version(), "call to discovery cancelled after");
         EXPECT_EQ(l.discovery().counts().respondedLate, 1U);
     }));
 }
