--- a/src/requests/request_tracker.cpp
+++ b/src/requests/request_tracker.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// An idle connection causes about a tenth of its usual load. A figure below this share of the usual load is
-// therefore not a load.
-constexpr double kMinimumLoadShare = 0.03;
+// An idle connection causes about a tenth of its expected load. A value below this share of the expected
+// load, which leaves a margin, is therefore not a load. Without a load hint, each value counts as a load.
+constexpr double kMinLoadOverExpectedLoad = 0.03;
 
 constexpr double kMicrosPerMilli = 1e3;
 
@@ -85,7 +85,7 @@
 }
 
 bool RequestTracker::isAttemptStillValid(const TrackedRequest& request, EndpointId endpoint) const {
-    return accepts(endpoint) && engine_->isAttemptStillValid(environment_.now(), request.arrival_.request);
+    return isEligible(endpoint) && engine_->isAttemptStillValid(environment_.now(), request.arrival_.request);
 }
 
 void RequestTracker::abandon(TrackedRequest& request) {
@@ -172,16 +172,16 @@
     removeRequest(request);
 }
 
-// Endpoints report loads and message delays on the same line. If the settings announce both, a figure far
+// Endpoints report loads and message delays on the same line. If the settings announce both, a value far
 // below the expected load is a delay in milliseconds. If a delay counted as a load, the connections of a slow
 // endpoint would look idle, and the endpoint would get more connections.
-void RequestTracker::loadLineReceived(TrackedRequest& request, double figure) {
-    if (settings_.reportsMessageDelay && figure < kMinimumLoadShare * request.expectedLoad_) {
-        sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, figure});
+void RequestTracker::loadLineReceived(TrackedRequest& request, double value) {
+    if (settings_.reportsMessageDelay && value < kMinLoadOverExpectedLoad * request.expectedLoad_) {
+        sendToEngine(MessageDelayMeasured{request.arrival_.request, request.endpoint_, value});
         return;
     }
-    request.arrival_.loadHint = figure;
-    sendToEngine(ConnectionLoadMeasured{request.arrival_.request, request.endpoint_, figure});
+    request.arrival_.loadHint = value;
+    sendToEngine(ConnectionLoadMeasured{request.arrival_.request, request.endpoint_, value});
 }
 
 void RequestTracker::messageDelayMeasured(TrackedRequest& request, Micros delay) {
@@ -197,12 +197,12 @@
     sendToEngine(HealthCheckCompleted{endpoint, outcome, elapsed, report});
 }
 
-void RequestTracker::movedByEndpoint(EndpointId endpoint) {
+void RequestTracker::endpointSentMove(EndpointId endpoint) {
     recordEvidence(EndpointSentMove{endpoint});
 }
 
 // The decision engine gets the list before an endpoint is released from withholding. Otherwise it could
-// select an endpoint that the list has just removed.
+// select an endpoint that the list has just reported as draining or gone.
 void RequestTracker::endpointListReceived(bool full, const std::vector<MemberEntry>& entries) {
     applyListChange(full ? EndpointListKind::Full : EndpointListKind::Delta, entries);
     recordListEntries(full, entries);
@@ -265,7 +265,7 @@
 
 // ---- queries ----
 
-bool RequestTracker::accepts(EndpointId endpoint) const {
+bool RequestTracker::isEligible(EndpointId endpoint) const {
     return endpoints_.isUsable(endpoint) && !drainEvidence_.withholds(endpoint);
 }
 
@@ -307,12 +307,14 @@
         },
         [this](const RejectRequest& reject) { deliver(reject.request, Rejection{reject.retryAfter}); },
         [this](const FailRequest& fail) { deliver(fail.request, RequestFailure{}); },
-        [](const CancelAttempt&) {},  // the owner cancels the attempt because of the accompanying decision
+        // The decision engine cancels an attempt only together with RejectRequest or FailRequest. The owner
+        // cancels the attempt when that decision is pending.
+        [](const CancelAttempt&) {},
         [this](const MigrateConnection& migrate) { requestMigration(migrate.request); },
         [this](const StartHealthCheck& start) { environment_.startHealthCheck(start.endpoint); },
         [this](const WatchEndpoints&) { environment_.startWatchingEndpointList(); },
         [this](const SetTimer& timer) { timers_.add(environment_.now() + timer.after, timer.token); },
-        [](const Log&) {},
+        [](const Log&) {},  // the node does not use the decision engine's log
     };
     std::visit(performer, action);
 }
--- a/src/requests/request_tracker.hpp
+++ b/src/requests/request_tracker.hpp
@@ -54,8 +54,10 @@
 
     // ---- requests ----
 
-    // Returns the next decision. Returns nullopt while the decision engine holds the request; the listener is
-    // notified when there is a decision.
+    // Submits the request to the decision engine at the first call. Returns the pending decision, or nullopt
+    // while the decision engine holds the request; the listener is notified when there is a decision. If the
+    // decision is ForwardTo, the attempt counts as started now. Must not be called again after the decision
+    // was Rejection or RequestFailure.
     std::optional<Decision> takeDecision(TrackedRequest& request);
     // Whether the attempt at the endpoint may still start. Since the decision, the endpoint may have become
     // unavailable in the list, banned or withheld, it may have restarted, or the decision may have expired.
@@ -73,9 +75,9 @@
     void attemptEnded(TrackedRequest& request, Outcome outcome, Micros elapsed,
                       const std::optional<LoadReport>& report);
     void connectionEnded(TrackedRequest& request, Outcome outcome, const std::optional<LoadReport>& report);
-    // `figure` is the number on an endpoint's load line: the connection's load in microseconds of work per
+    // `value` is the number on an endpoint's load line: the connection's load in microseconds of work per
     // second, or the delay of its messages in milliseconds.
-    void loadLineReceived(TrackedRequest& request, double figure);
+    void loadLineReceived(TrackedRequest& request, double value);
     void messageDelayMeasured(TrackedRequest& request, Micros delay);
 
     // ---- reports on endpoints ----
@@ -83,18 +85,20 @@
     void healthCheckCompleted(EndpointId endpoint, Outcome outcome, Micros elapsed,
                               const std::optional<LoadReport>& report);
     // The endpoint ended a client's connection with MOVE. A MOVE that this node sent must not be reported.
-    void movedByEndpoint(EndpointId endpoint);
+    void endpointSentMove(EndpointId endpoint);
     // Entries of the endpoint list: the complete list if `full`, otherwise the changed entries.
     void endpointListReceived(bool full, const std::vector<MemberEntry>& entries);
     void endpointListFailed();
-    // The list counts as live until the first call. When the list becomes live again, the entries of the
-    // watch's first message must be reported by endpointListReceived() before this call. Otherwise a draining
-    // endpoint would be selected between the two calls.
+    // Until this function is called for the first time, the list is treated as live, so that no drain
+    // evidence is collected; the default state of ListFreshness is CatchingUp. When the list becomes live
+    // again, the entries of the watch's first message must be reported by endpointListReceived() before this
+    // function is called. Otherwise a draining endpoint would be selected between the two reports.
     void setListFreshness(const ListFreshness& freshness);
 
     // ---- bans by operators ----
 
-    // Returns false if the endpoint was never listed.
+    // Returns false if the endpoint is unknown: never listed by this node or its predecessor, and never
+    // banned by an operator.
     bool setEndpointDisabled(EndpointId endpoint, bool disabled);
     // Applies a ban that another node reported. The endpoint need not be listed at this node.
     void applyOperatorBan(EndpointId endpoint, bool banned);
@@ -102,7 +106,7 @@
     // ---- queries ----
 
     // Whether the endpoint is eligible for new connections: ready in the list, not banned and not withheld.
-    bool accepts(EndpointId endpoint) const;
+    bool isEligible(EndpointId endpoint) const;
     std::size_t listedEndpointCount() const { return endpoints_.listedCount(); }
     std::size_t excludedEndpointCount() const { return engine_->excludedEndpointCount(); }
     // Whether the current settings name the class.
